--- a/src/pomelobarrow/decision/checks.py
+++ b/src/pomelobarrow/decision/checks.py
@@ -1,4 +1,4 @@
-"""Check decoded JSON or YAML field by field and name every fault."""
+"""Validate decoded JSON or YAML field by field and report every fault."""
 
 import re
 from collections.abc import Callable, Mapping
@@ -13,7 +13,7 @@
 NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
 NAME_REMEDY = "use 1 to 63 letters, digits, '.', '_' or '-', a letter or digit first"
 
-_KIND_WORDS: dict[type, str] = {
+_TYPE_NAMES: dict[type, str] = {
     bool: "a boolean",
     int: "a whole number",
     float: "a number",
@@ -25,13 +25,13 @@
     type(None): "null",
 }
 
-# A reader returns the checked value, or the remedy as its error.
+# Returns the validated value, or the remedy as the error.
 Reader = Callable[[Any], Result[Any, str]]
 
 
 @frozen(kw_only=True)
 class Fault:
-    """Name one fault: where it is, what was seen there and how to mend it."""
+    """An invalid value: its path, what was found there and how to correct it."""
 
     path: str
     seen: str
@@ -43,7 +43,7 @@
 
 @frozen(kw_only=True)
 class FieldSpec:
-    """Describe one field: how it is read, whether it must be there, whether it is secret."""
+    """Specification of a field: how it is read, and whether it is required or secret."""
 
     reader: Reader
     required: bool = False
@@ -51,27 +51,27 @@
 
 
 def shorten(text: str) -> str:
-    """Cut a text to a length that fits a fault."""
+    """Truncate a text to the length shown in a fault."""
     if len(text) <= MAX_SHOWN_CHARACTERS:
         return text
     return text[:MAX_SHOWN_CHARACTERS] + "..."
 
 
 def describe_kind(value: object) -> str:
-    """Say what sort of value it is without showing it."""
-    words = _KIND_WORDS.get(type(value), type(value).__name__)
+    """Return the type of a value, and its length, without its contents."""
+    type_name = _TYPE_NAMES.get(type(value), type(value).__name__)
     if isinstance(value, dict | list | tuple | str | bytes):
-        return f"{words} of length {len(value)}"
-    return words
+        return f"{type_name} of length {len(value)}"
+    return type_name
 
 
 def describe(value: object) -> str:
-    """Show a scalar, and only the kind and length of anything larger."""
+    """Return a scalar as text, or only the type and length of any other value."""
     if value is None:
         return "null"
     if isinstance(value, str):
         return shorten(repr(value[: MAX_SHOWN_CHARACTERS + 1]))
-    # Turning an int of thousands of digits into text raises ValueError.
+    # Converting an int of thousands of digits to text raises ValueError.
     if isinstance(value, int) and value.bit_length() > MAX_SHOWN_INT_BITS:
         return f"an integer of {value.bit_length()} bits"
     if isinstance(value, bool | int | float):
@@ -80,21 +80,21 @@
 
 
 def show_name(name: object) -> str:
-    """Show a key or field name, quoted when it isn't a plain one."""
+    """Return a key or field name as text, quoted if it isn't a valid name."""
     if isinstance(name, str) and NAME_PATTERN.fullmatch(name):
         return name
     return describe(name)
 
 
 def number(*, above: float | None = None, least: float | None = None, most: float) -> Reader:
-    """Read a finite number between bounds."""
+    """Return a reader for a finite number between bounds."""
     low = f"above {above:g}" if above is not None else f"from {least:g}"
     remedy = f"give a number {low} to {most:g}"
 
     def read(value: Any) -> Result[Any, str]:
         if isinstance(value, bool) or not isinstance(value, int | float):
             return Err(remedy)
-        # A NaN fails every comparison, so it is refused here too.
+        # NaN fails every comparison, so it is rejected here too.
         if above is not None and not above < value <= most:
             return Err(remedy)
         if least is not None and not least <= value <= most:
@@ -105,7 +105,7 @@
 
 
 def integer(*, least: int, most: int) -> Reader:
-    """Read a whole number between bounds."""
+    """Return a reader for a whole number between bounds."""
     remedy = f"give a whole number from {least} to {most}"
 
     def read(value: Any) -> Result[Any, str]:
@@ -117,12 +117,12 @@
 
 
 def boolean(value: Any) -> Result[Any, str]:
-    """Read true or false."""
+    """Read a boolean."""
     return Ok(value) if isinstance(value, bool) else Err("give true or false")
 
 
 def choice(kind: type[Enum]) -> Reader:
-    """Read the value of one of an enumeration's members."""
+    """Return a reader for the value of an enumeration member."""
     member_by_value = {member.value: member for member in kind}
     remedy = "give one of " + ", ".join(sorted(member_by_value))
 
@@ -134,7 +134,7 @@
 
 
 def text(pattern: re.Pattern[str], remedy: str) -> Reader:
-    """Read a text that matches a pattern as a whole."""
+    """Return a reader for a text that fully matches a pattern."""
 
     def read(value: Any) -> Result[Any, str]:
         if isinstance(value, str) and pattern.fullmatch(value):
@@ -148,7 +148,7 @@
 
 
 def optional(reader: Reader) -> Reader:
-    """Read null as None, anything else by the given reader."""
+    """Return a reader that accepts null as None, and else uses the given reader."""
 
     def read(value: Any) -> Result[Any, str]:
         return Ok(None) if value is None else reader(value)
@@ -159,7 +159,7 @@
 def read_fields(
     path: str, value: object, specs: Mapping[str, FieldSpec]
 ) -> tuple[dict[str, Any], list[Fault]]:
-    """Read a mapping by its specification; collect what was read and every fault."""
+    """Read a mapping by its field specifications; return the fields and all faults."""
     if not isinstance(value, Mapping):
         remedy = "give a mapping with the fields " + ", ".join(specs)
         return {}, [Fault(path=path or "(whole)", seen=describe_kind(value), remedy=remedy)]
@@ -180,7 +180,7 @@
 
 
 def join(path: str, field_name: object) -> str:
-    """Append a field to a path."""
+    """Append a field name to a path."""
     shown = show_name(field_name)
     return f"{path}.{shown}" if path else shown
 
@@ -189,7 +189,7 @@
     path: str, value: Mapping[Any, Any], specs: Mapping[str, FieldSpec]
 ) -> list[Fault]:
     remedy = "remove it; the fields are " + ", ".join(specs)
-    # The value isn't shown: a secret under a misspelt name would end up in the logs.
+    # The value isn't shown: a secret under a misspelt field name would be logged.
     return [
         Fault(
             path=join(path, field_name),
--- a/src/pomelobarrow/decision/configuration.py
+++ b/src/pomelobarrow/decision/configuration.py
@@ -1,4 +1,4 @@
-"""The published configuration as checked values."""
+"""The published configuration as validated values."""
 
 import enum
 from collections.abc import Mapping
@@ -9,21 +9,21 @@
 
 
 class Rank(enum.Enum):
-    """Say whether work is paid for; paying work goes before trial work everywhere."""
+    """Whether work is paid for; paying work takes precedence over trial work everywhere."""
 
     PAYING = "paying"
     TRIAL = "trial"
 
 
 class Objective(enum.Enum):
-    """Say which measure a deployment weighs most."""
+    """The measure that a deployment optimizes first."""
 
     COST = "cost"
     TAIL_LATENCY = "tail_latency"
 
 
 class PoolKind(enum.Enum):
-    """Say how a pool's backend servers are spoken to."""
+    """The protocol of a pool's backend servers."""
 
     ENGINE = "engine"
     SERVICE = "service"
@@ -31,7 +31,7 @@
 
 @frozen(kw_only=True)
 class WorkClass:
-    """Hold what an operator states about one class of work."""
+    """Routing rules and latency targets of one class of work."""
 
     name: str
     pool: str
@@ -45,7 +45,7 @@
 
 @frozen(kw_only=True)
 class ModelSpec:
-    """Name a model, the pool that serves it and the version that it should serve."""
+    """A model, the pool that serves it and the version to serve."""
 
     name: str
     pool: str
@@ -54,7 +54,7 @@
 
 @frozen(kw_only=True)
 class Account:
-    """Hold one client account; only hashes of its tokens are published."""
+    """A client account with its limits; only hashes of its tokens are published."""
 
     name: str
     token_sha256: tuple[str, ...]
@@ -66,7 +66,7 @@
 
 @frozen(kw_only=True)
 class Pool:
-    """Hold one pool of backend servers."""
+    """A pool of backend servers."""
 
     name: str
     kind: PoolKind
@@ -76,7 +76,7 @@
 
 @frozen(kw_only=True)
 class Configuration:
-    """Hold one whole, checked revision."""
+    """One complete, validated revision of the configuration."""
 
     revision: int = 0
     objective: Objective = Objective.COST
@@ -85,7 +85,7 @@
     accounts: Mapping[str, Account] = field(factory=dict)
     pools: Mapping[str, Pool] = field(factory=dict)
     account_by_token_sha256: Mapping[str, Account] = field(factory=dict)
-    # Routes of requests that are relayed as they came; None where none are published.
+    # Routes of requests that are relayed unchanged; None if none are published.
     routing: Routing | None = None
     # Failure domains whose backend servers get no new work.
     evacuated_domains: frozenset[str] = frozenset()
--- a/src/pomelobarrow/decision/configuration_check.py
+++ b/src/pomelobarrow/decision/configuration_check.py
@@ -1,4 +1,4 @@
-"""Check published values as a whole and build the configuration from them."""
+"""Validate published values as a whole and build the configuration from them."""
 
 import re
 from collections.abc import Callable, Iterable, Iterator, Mapping
@@ -54,7 +54,7 @@
 
 @frozen(kw_only=True)
 class _Section:
-    """Say how the values under one key prefix are read and built."""
+    """How the values under one key prefix are read, checked and built."""
 
     specs: Mapping[str, FieldSpec]
     build: Callable[..., Any]
@@ -64,7 +64,7 @@
 
 @frozen(kw_only=True)
 class _Parsed:
-    """Keep what one key's value gave, so that an unchanged value isn't read again."""
+    """Cached result of parsing one key's value, reused while the value is unchanged."""
 
     value: object
     section: str = ""
@@ -74,7 +74,7 @@
     faults: tuple[Fault, ...] = ()
 
 
-# What each key gave, by section and name.
+# Parsed values by section and item name.
 _Sections = Mapping[str, Mapping[str, _Parsed]]
 
 
@@ -166,7 +166,7 @@
     ),
     "accounts": _Section(
         specs={
-            # An operator may have pasted a token in place of its hash.
+            # An operator may have entered a token instead of its hash, so the value isn't shown.
             "token_sha256": FieldSpec(reader=_token_hashes, required=True, secret=True),
             "rank": FieldSpec(reader=choice(Rank)),
             "home_region": FieldSpec(reader=optional(name)),
@@ -188,9 +188,9 @@
 
 @define
 class ConfigurationChecker:
-    """Check whole configurations, reading again only the values that changed.
+    """Validate whole configurations, parsing again only the values that changed.
 
-    A value counts as unchanged while it is the same object; never change one in place.
+    A value counts as unchanged while it is the same object, so values must not be mutated.
     """
 
     _parsed: dict[Any, _Parsed] = field(factory=dict)
@@ -198,7 +198,7 @@
     def check(
         self, values: Mapping[str, Any], revision: int
     ) -> Result[Configuration, tuple[Fault, ...]]:
-        """Check every value and every reference; give the configuration or all faults."""
+        """Check every value and reference; return the configuration or all faults."""
         if not isinstance(values, Mapping):
             remedy = "give a mapping from keys to values"
             return Err((Fault(path="configuration", seen=describe_kind(values), remedy=remedy),))
@@ -223,7 +223,7 @@
 def check_configuration(
     values: Mapping[str, Any], revision: int
 ) -> Result[Configuration, tuple[Fault, ...]]:
-    """Check a whole configuration from nothing."""
+    """Check a whole configuration without a cache."""
     return ConfigurationChecker().check(values, revision)
 
 
@@ -276,7 +276,7 @@
 
 
 def _missing_sections(sections: _Sections) -> Iterator[Fault]:
-    # A daemon that served on an empty or half-read keyspace would refuse every caller.
+    # A daemon that served with an empty or partly read keyspace would refuse every caller.
     for section_name, section in _SECTIONS.items():
         if section.required and not sections[section_name]:
             remedy = f"publish at least one key {section_name}/NAME"
--- a/src/pomelobarrow/decision/connect_backoff.py
+++ b/src/pomelobarrow/decision/connect_backoff.py
@@ -1,44 +1,44 @@
-"""Leave a peer out for a moment after no connection to it could be made."""
+"""Back off from a peer after a connection to it failed."""
 
 from attrs import define, field
 
 FIRST_BACKOFF_S = 0.5
-# A link that heals is in use again within this time; a request a pause is what a peer costs that
-# stays unreachable.
-MAX_PAUSE_S = 4.0
+# A recovered peer is used again within this time; a peer that stays unreachable costs one request
+# per back-off period.
+MAX_BACKOFF_S = 4.0
 
 
 @define
-class _Pause:
-    length_s: float
+class _Backoff:
+    duration_s: float
     until_unix_s: float
 
 
 @define
 class ConnectBackoff:
-    """Hold which peers took no connection of late.
+    """Peers to which a connection failed recently, with exponential back-off.
 
-    Heartbeats on connections that are already up tell nothing of new ones, and silence takes
-    seconds to mean something. Meanwhile each request that is sent to such a peer waits for the
-    connection's timeout, and has no turn left after a few. The first one that fails speaks for
-    those that follow within the pause; each pause is twice the last.
+    Heartbeats on established connections don't show whether a new connection succeeds, and it takes
+    seconds until missing heartbeats count as silence. Until then each request sent to such a peer
+    waits for the connection timeout and uses up its attempts. After the first failure the peer is
+    therefore left out for a back-off period, which doubles with each further failure.
     """
 
-    _pauses: dict[str, _Pause] = field(factory=dict)
+    _backoffs: dict[str, _Backoff] = field(factory=dict)
 
     def note_connect_failure(self, vm: str, now_unix_s: float) -> None:
-        """Take in a failed connection; those that were under way meanwhile count once."""
-        last = self._pauses.get(vm)
+        """Record a failed connection; failures during the back-off period don't extend it."""
+        last = self._backoffs.get(vm)
         if last is not None and now_unix_s < last.until_unix_s:
             return
-        length_s = FIRST_BACKOFF_S if last is None else min(MAX_PAUSE_S, 2.0 * last.length_s)
-        self._pauses[vm] = _Pause(length_s, now_unix_s + length_s)
+        duration_s = FIRST_BACKOFF_S if last is None else min(MAX_BACKOFF_S, 2.0 * last.duration_s)
+        self._backoffs[vm] = _Backoff(duration_s, now_unix_s + duration_s)
 
     def note_connected(self, vm: str) -> None:
-        """Take in an answer."""
-        self._pauses.pop(vm, None)
+        """Record that a peer answered."""
+        self._backoffs.pop(vm, None)
 
-    def is_left_out(self, vm: str, now_unix_s: float) -> bool:
-        """Say whether a peer is passed over now."""
-        pause = self._pauses.get(vm)
-        return pause is not None and now_unix_s < pause.until_unix_s
+    def is_backed_off(self, vm: str, now_unix_s: float) -> bool:
+        """Return whether a peer is in its back-off period."""
+        backoff = self._backoffs.get(vm)
+        return backoff is not None and now_unix_s < backoff.until_unix_s
--- a/src/pomelobarrow/decision/keyspace.py
+++ b/src/pomelobarrow/decision/keyspace.py
@@ -1,13 +1,14 @@
-"""A copy of a revisioned keyspace that never reverts.
+"""A copy of a revisioned keyspace that never reverts to an older revision.
 
-The observed values hold every change up to `observed_revision`; the values in force are the last
-observed ones that the validator accepted whole. Two copies that observed the same revision with
-different digests (a lost change, or one revision published twice) send each other everything and
-keep, for each key, the newest revision, of equal ones the larger fingerprint. That choice is a
-maximum: it doesn't depend on order or repetition, so all copies that exchange reach the same state.
+The observed values include every change up to `observed_revision`. The values in force, which the
+daemon uses, are the last observed ones that the validator accepted as a whole. Two copies that
+observed the same revision with different digests (a lost change, or one revision published twice)
+send each other all values and keep the newest revision of each key, or on a tie the one with the
+larger fingerprint. This merge is commutative and idempotent, so all copies converge regardless of
+the order and repetition of messages.
 
-A copy that observed a refused revision without the good one before it takes the values in force
-from another copy; they never depend on which copy was there at which time.
+A copy that observed a refused revision, but not the valid one before it, gets the values in force
+from another copy. The values in force therefore don't depend on when a copy was created.
 """
 
 import bisect
@@ -45,7 +46,7 @@
 
 @define
 class KeyspaceCounters:
-    """Count what an operator should see."""
+    """Counters of applied and rejected batches, for operators."""
 
     applied: int = 0
     invalid: int = 0
@@ -66,7 +67,7 @@
 
 
 @frozen
-class _Kept:
+class _Entry:
     change: Change
     fingerprint: int
 
@@ -76,17 +77,17 @@
 
 
 @define
-class _Pending:
-    """Hold the pages received of a batch that isn't complete yet."""
+class _PartialBatch:
+    """Pages received of a batch that isn't complete yet."""
 
     received_revision: int
     head_revision: int = 0
-    batch: dict[str, _Kept] = field(factory=dict)
+    batch: dict[str, _Entry] = field(factory=dict)
 
 
 @define
 class KeyspaceCopy:
-    """Hold what was observed of a keyspace and what is in force of it."""
+    """One VM's copy of a keyspace: the observed values and the values in force."""
 
     name: str
     validator: Validator = accept_all
@@ -94,32 +95,32 @@
     revision: int = field(default=0, init=False)
     observed_revision: int = field(default=0, init=False)
     digest: int = field(default=0, init=False)
-    # Deletions up to here may be unknown to this copy, so it can't serve a delta from before.
+    # Deletions up to this revision may be unknown here, so no delta can start before it.
     tombstone_floor: int = field(default=0, init=False)
     counters: KeyspaceCounters = field(factory=KeyspaceCounters, init=False)
     refused_reasons: tuple[Any, ...] = field(default=(), init=False)
-    _kept: dict[str, _Kept] = field(factory=dict, init=False, repr=False)
+    _entries: dict[str, _Entry] = field(factory=dict, init=False, repr=False)
     _observed_values: dict[str, Any] = field(factory=dict, init=False, repr=False)
     _values: dict[str, Any] = field(factory=dict, init=False, repr=False)
-    # The changes that gave the values in force, for copies that never saw them.
+    # The changes behind the values in force, for copies that never observed them.
     _in_force: dict[str, Change] = field(factory=dict, init=False, repr=False)
     # Keys whose observed value may differ from the one in force.
-    _waiting: set[str] = field(factory=set, init=False, repr=False)
-    # (revision, key) in order; an item whose key has changed since is stale and skipped.
+    _unapplied_keys: set[str] = field(factory=set, init=False, repr=False)
+    # Sorted (revision, key) pairs; a pair is stale and skipped if its key has changed since.
     _log: list[tuple[int, str]] = field(factory=list, init=False, repr=False)
     _tombstones: int = field(default=0, init=False)
-    _pending: _Pending | None = field(default=None, init=False, repr=False)
-    # The revision observed before a restart; nothing older may take its place.
-    _least_head: int = field(default=0, init=False)
+    _partial: _PartialBatch | None = field(default=None, init=False, repr=False)
+    # The revision observed before a restart; older heads are rejected.
+    _min_head_revision: int = field(default=0, init=False)
 
     @property
     def values(self) -> Mapping[str, Any]:
-        """Return the values in force, a view that follows later changes."""
+        """Return a live read-only view of the values in force."""
         return MappingProxyType(self._values)
 
     @property
     def summary(self) -> KeyspaceSummary:
-        """Return what a heartbeat says of this copy."""
+        """Return the summary of this copy for heartbeats."""
         return KeyspaceSummary(
             name=self.name,
             revision=self.observed_revision,
@@ -129,11 +130,11 @@
 
     @property
     def ask_after_revision(self) -> int:
-        """Return the revision from which to ask for the next page."""
-        return self._pending.received_revision if self._pending else self.observed_revision
+        """Return the revision after which to request the next page."""
+        return self._partial.received_revision if self._partial else self.observed_revision
 
     def sync_after_revision(self, other: KeyspaceSummary) -> int | None:
-        """Return the revision after which to ask the other copy, None when in step with it."""
+        """Return the revision after which to request changes, or None if in sync."""
         if other.revision > self.observed_revision:
             return self.observed_revision
         if other.revision == self.observed_revision and other.digest != self.digest:
@@ -141,11 +142,11 @@
         return None
 
     def lacks_in_force(self, other: KeyspaceSummary) -> bool:
-        """Say whether the other copy has in force what this one, refusing a later one, lacks."""
+        """Return whether this copy refuses a revision and the other has newer values in force."""
         return bool(self.refused_reasons) and other.revision_in_force > self.revision
 
     def in_force_after(self, revision: int) -> Delta:
-        """Return the whole of what is in force here, where that is later than a revision."""
+        """Return all values in force, or none if they aren't newer than a revision."""
         is_later = self.revision > revision
         return Delta(
             name=self.name,
@@ -155,14 +156,14 @@
         )
 
     def apply_in_force(self, delta: Delta) -> ApplyResult:
-        """Put in force the whole that another copy has, while a later revision stays refused.
+        """Put the values in force of another copy in force, while a later revision is refused.
 
-        The platform shows only the newest value of a key. A VM that starts while that one is
-        invalid would find nothing to serve on, although every other VM does.
+        The platform returns only the newest value of a key. Without this, a VM that starts while
+        that value is invalid would have no configuration, although every other VM has one.
         """
-        # Past what was observed here, a change that arrives late would take the values back.
-        is_between = self.revision < delta.head_revision <= self.observed_revision
-        if not self.refused_reasons or not is_between:
+        # Beyond the observed revision, a change that arrives late would revert the values.
+        is_in_range = self.revision < delta.head_revision <= self.observed_revision
+        if not self.refused_reasons or not is_in_range:
             return ApplyResult(outcome=ApplyOutcome.STALE)
         if delta.after_revision > 0:
             return ApplyResult(outcome=ApplyOutcome.GAP)
@@ -175,7 +176,7 @@
             return ApplyResult(outcome=ApplyOutcome.INVALID, refused_reasons=reasons)
         for key in changed:
             self._set_in_force(key, new.get(key))
-        self._waiting |= changed
+        self._unapplied_keys |= changed
         self.revision = delta.head_revision
         self.counters.applied += 1
         return ApplyResult(outcome=ApplyOutcome.IN_FORCE, changed_keys=changed)
@@ -188,8 +189,8 @@
         after_revision: int,
         complete: bool = True,
     ) -> ApplyResult:
-        """Take the changes after a revision up to the head, or a part of them."""
-        if head_revision < max(self.observed_revision, self._least_head):
+        """Apply all changes after a revision up to the head, or one page of them."""
+        if head_revision < max(self.observed_revision, self._min_head_revision):
             self.counters.stale += 1
             return ApplyResult(outcome=ApplyOutcome.STALE)
         if self._misses_changes_before(head_revision, after_revision, complete):
@@ -205,15 +206,15 @@
         return self._complete(batch, after_revision, head_revision)
 
     def changes_after(self, revision: int) -> Delta:
-        """Return what another copy lacks; it starts later than asked where deletions are unknown.
+        """Return the changes after a revision, or a later one if deletions are unknown before it.
 
-        A copy that gets a gap in reply to its own observed revision calls `restart` and asks
-        after 0.
+        A copy that receives a delta with a gap after its observed revision calls `restart` and
+        requests all changes after 0.
         """
         after = revision if revision == 0 else max(revision, self.tombstone_floor)
         start = bisect.bisect_right(self._log, (after, chr(0x10FFFF)))
-        items = ((at, self._kept.get(key)) for at, key in self._log[start:])
-        newest = (kept.change for at, kept in items if kept and kept.change.revision == at)
+        items = ((at, self._entries.get(key)) for at, key in self._log[start:])
+        newest = (entry.change for at, entry in items if entry and entry.change.revision == at)
         return Delta(
             name=self.name,
             after_revision=after,
@@ -222,94 +223,96 @@
         )
 
     def restart(self) -> None:
-        """Forget what was observed, to ask for everything; the values in force stay."""
-        self._least_head = max(self._least_head, self.observed_revision)
-        self._waiting.update(self._in_force)
+        """Discard the observed values, to request all of them again; the values in force stay."""
+        self._min_head_revision = max(self._min_head_revision, self.observed_revision)
+        self._unapplied_keys.update(self._in_force)
         self.observed_revision = self.digest = self.tombstone_floor = self._tombstones = 0
-        self._kept.clear()
+        self._entries.clear()
         self._observed_values.clear()
         self._log.clear()
-        self._pending = None
+        self._partial = None
 
     def _misses_changes_before(
         self, head_revision: int, after_revision: int, complete: bool
     ) -> bool:
-        # With changes missing in between, a deletion or a key could be lost for good, while the
-        # revision says that nothing is.
+        # With changes missing in between, a deletion or a key could be lost permanently, although
+        # the observed revision covers it.
         if after_revision > self.ask_after_revision:
             return True
-        # The whole from 0 leaves out deleted keys. Asked for by an empty copy and arriving after a
-        # peer's older delta, it would leave the keys deleted in between in force.
+        # A full delta after 0 omits deleted keys. If an empty copy requests it and first receives
+        # an older delta from a peer, keys deleted in between would stay in force.
         is_settled = complete and head_revision == self.observed_revision
         return after_revision == 0 < self.observed_revision and not is_settled
 
     def _accumulate(
-        self, batch: list[_Kept], after_revision: int, head_revision: int
+        self, batch: list[_Entry], after_revision: int, head_revision: int
     ) -> ApplyResult:
-        pending = self._pending or _Pending(self.observed_revision)
-        _merge(pending.batch, batch)
-        last_revision = max((kept.change.revision for kept in batch), default=after_revision)
-        pending.received_revision = max(pending.received_revision, last_revision)
-        pending.head_revision = max(pending.head_revision, head_revision)
-        self._pending = pending
+        partial = self._partial or _PartialBatch(self.observed_revision)
+        _merge(partial.batch, batch)
+        last_revision = max((entry.change.revision for entry in batch), default=after_revision)
+        partial.received_revision = max(partial.received_revision, last_revision)
+        partial.head_revision = max(partial.head_revision, head_revision)
+        self._partial = partial
         return ApplyResult(outcome=ApplyOutcome.INCOMPLETE)
 
-    def _complete(self, batch: list[_Kept], after_revision: int, head_revision: int) -> ApplyResult:
-        pending = self._pending
-        if pending is None or after_revision <= self.observed_revision:
+    def _complete(
+        self, batch: list[_Entry], after_revision: int, head_revision: int
+    ) -> ApplyResult:
+        partial = self._partial
+        if partial is None or after_revision <= self.observed_revision:
             return self._observe(batch, head_revision)
-        # The earlier pages left out the keys that change again before their head. A last page from
-        # a reader that lags behind that head lacks those keys too.
-        if head_revision < pending.head_revision:
+        # Earlier pages omit keys that change again up to their head. A last page from a reader that
+        # lags behind that head lacks those keys as well.
+        if head_revision < partial.head_revision:
             self.counters.stale += 1
             return ApplyResult(outcome=ApplyOutcome.STALE)
-        _merge(pending.batch, batch)
-        return self._observe(list(pending.batch.values()), head_revision)
+        _merge(partial.batch, batch)
+        return self._observe(list(partial.batch.values()), head_revision)
 
-    def _observe(self, batch: list[_Kept], head_revision: int) -> ApplyResult:
-        news = [kept for kept in batch if self._is_news(kept)]
-        if head_revision == self.observed_revision and not news:
+    def _observe(self, batch: list[_Entry], head_revision: int) -> ApplyResult:
+        newer = [entry for entry in batch if self._supersedes(entry)]
+        if head_revision == self.observed_revision and not newer:
             self.counters.stale += 1
             return ApplyResult(outcome=ApplyOutcome.STALE)
         if self.observed_revision == 0:
             self.tombstone_floor = head_revision
-        for kept in news:
-            self._keep(kept)
-        self._append_to_log(news)
+        for entry in newer:
+            self._store(entry)
+        self._append_to_log(newer)
         self.observed_revision = head_revision
-        self._pending = None
+        self._partial = None
         self._prune()
         return self._put_in_force()
 
-    def _is_news(self, kept: _Kept) -> bool:
-        old = self._kept.get(kept.change.key)
-        if old is not None and old.fingerprint == kept.fingerprint:
+    def _supersedes(self, entry: _Entry) -> bool:
+        old = self._entries.get(entry.change.key)
+        if old is not None and old.fingerprint == entry.fingerprint:
             return False
-        # A deletion that was pruned here comes again with a repeated page. Taken as new, it would
-        # be counted as a second content of a revision that has one.
-        is_known_gone = old is None and kept.change.value is None
-        if is_known_gone and kept.change.revision <= self.tombstone_floor:
+        # A repeated page may contain a deletion that was pruned here. Treated as new, it would
+        # count as a conflicting change of an observed revision.
+        is_unknown_deletion = old is None and entry.change.value is None
+        if is_unknown_deletion and entry.change.revision <= self.tombstone_floor:
             return False
-        is_newer = old is None or kept.order > old.order
-        is_conflict = kept.change.revision <= self.observed_revision and (
-            is_newer or (old is not None and old.change.revision == kept.change.revision)
+        is_newer = old is None or entry.order > old.order
+        is_conflict = entry.change.revision <= self.observed_revision and (
+            is_newer or (old is not None and old.change.revision == entry.change.revision)
         )
         self.counters.conflicts += is_conflict
         return is_newer
 
-    def _keep(self, kept: _Kept) -> None:
-        change = kept.change
+    def _store(self, entry: _Entry) -> None:
+        change = entry.change
         self._forget(change.key)
-        self._kept[change.key] = kept
-        self._waiting.add(change.key)
+        self._entries[change.key] = entry
+        self._unapplied_keys.add(change.key)
         if change.value is None:
             self._tombstones += 1
             return
         self._observed_values[change.key] = change.value
-        self.digest = (self.digest + kept.fingerprint) & DIGEST_MASK
+        self.digest = (self.digest + entry.fingerprint) & DIGEST_MASK
 
     def _forget(self, key: str) -> None:
-        old = self._kept.pop(key, None)
+        old = self._entries.pop(key, None)
         if old is None:
             return
         if old.change.value is None:
@@ -318,30 +321,30 @@
         del self._observed_values[key]
         self.digest = (self.digest - old.fingerprint) & DIGEST_MASK
 
-    def _append_to_log(self, news: list[_Kept]) -> None:
-        added = sorted((kept.change.revision, kept.change.key) for kept in news)
+    def _append_to_log(self, newer: list[_Entry]) -> None:
+        added = sorted((entry.change.revision, entry.change.key) for entry in newer)
         in_order = not self._log or not added or self._log[-1] <= added[0]
         self._log.extend(added)
-        if not in_order or len(self._log) > 2 * len(self._kept) + LOG_SLACK:
+        if not in_order or len(self._log) > 2 * len(self._entries) + LOG_SLACK:
             self._rebuild_log()
 
     def _rebuild_log(self) -> None:
-        self._log = sorted((kept.change.revision, key) for key, kept in self._kept.items())
+        self._log = sorted((entry.change.revision, key) for key, entry in self._entries.items())
 
     def _prune(self) -> None:
-        # VMs come and go for ever, and so would their tombstones stay. A copy that is behind the
-        # floor is told so and starts from the whole.
+        # VMs are replaced continuously, so tombstones would accumulate without a limit. A copy that
+        # is behind the floor receives a gap and restarts with a full delta.
         if self._tombstones <= self.tombstones_kept:
             return
-        dead = [kept.change for kept in self._kept.values() if kept.change.value is None]
-        dead.sort(key=lambda change: change.revision)
-        for change in dead[: len(dead) - self.tombstones_kept // 2]:
+        tombstones = [entry.change for entry in self._entries.values() if entry.change.value is None]
+        tombstones.sort(key=lambda change: change.revision)
+        for change in tombstones[: len(tombstones) - self.tombstones_kept // 2]:
             self._forget(change.key)
             self.tombstone_floor = max(self.tombstone_floor, change.revision)
         self._rebuild_log()
 
     def _put_in_force(self) -> ApplyResult:
-        changed = frozenset(self._waiting)
+        changed = frozenset(self._unapplied_keys)
         if changed:
             candidate = MappingProxyType(self._observed_values)
             self.refused_reasons = self.validator(candidate, changed, self.observed_revision)
@@ -349,9 +352,9 @@
             self.counters.invalid += 1
             return ApplyResult(outcome=ApplyOutcome.INVALID, refused_reasons=self.refused_reasons)
         for key in changed:
-            kept = self._kept.get(key)
-            self._set_in_force(key, kept.change if kept else None)
-        self._waiting.clear()
+            entry = self._entries.get(key)
+            self._set_in_force(key, entry.change if entry else None)
+        self._unapplied_keys.clear()
         self.revision = self.observed_revision
         self.counters.applied += 1
         return ApplyResult(outcome=ApplyOutcome.IN_FORCE, changed_keys=changed)
@@ -365,23 +368,23 @@
         self._values[key] = change.value
 
 
-def _checked(change: Change, head_revision: int) -> _Kept:
+def _checked(change: Change, head_revision: int) -> _Entry:
     if not 0 < change.revision <= head_revision:
         raise ValueError(
-            f"change of {change.key!r} has revision {change.revision}, the head is "
-            f"{head_revision}: ask the sender again, or another one"
+            f"change of {change.key!r} has revision {change.revision}, past the head "
+            f"{head_revision}: request the changes again, or from another sender"
         )
-    return _Kept(change, fingerprint(change))
+    return _Entry(change, fingerprint(change))
 
 
-def _newest(batch: Iterable[_Kept]) -> list[_Kept]:
-    by_key: dict[str, _Kept] = {}
+def _newest(batch: Iterable[_Entry]) -> list[_Entry]:
+    by_key: dict[str, _Entry] = {}
     _merge(by_key, batch)
     return list(by_key.values())
 
 
-def _merge(into: dict[str, _Kept], batch: Iterable[_Kept]) -> None:
-    for kept in batch:
-        old = into.get(kept.change.key)
-        if old is None or kept.order > old.order:
-            into[kept.change.key] = kept
+def _merge(into: dict[str, _Entry], batch: Iterable[_Entry]) -> None:
+    for entry in batch:
+        old = into.get(entry.change.key)
+        if old is None or entry.order > old.order:
+            into[entry.change.key] = entry
--- a/src/pomelobarrow/decision/keyspace_types.py
+++ b/src/pomelobarrow/decision/keyspace_types.py
@@ -1,4 +1,4 @@
-"""The changes of a revisioned keyspace, as copies exchange them."""
+"""Changes of a revisioned keyspace, as exchanged between copies."""
 
 import enum
 from typing import Any
@@ -10,7 +10,7 @@
 
 @frozen
 class Change:
-    """Hold one key's value at a revision; None deletes the key."""
+    """A key's value at a revision; None deletes the key."""
 
     revision: int
     key: str
@@ -19,7 +19,7 @@
 
 @frozen(kw_only=True)
 class Delta:
-    """Carry the newest change of each key after a revision, complete up to the head."""
+    """The newest change of each key after a revision, complete up to the head."""
 
     name: str
     after_revision: int
@@ -29,7 +29,7 @@
 
 @frozen(kw_only=True)
 class KeyspaceSummary:
-    """Sum up what a copy observed, for comparison with another's."""
+    """Revision and digest of a copy, for comparison with another copy."""
 
     name: str
     revision: int
@@ -38,7 +38,7 @@
 
 
 class ApplyOutcome(enum.Enum):
-    """Enumerate what became of a batch of changes."""
+    """Outcome of applying a batch of changes."""
 
     IN_FORCE = "in_force"
     INVALID = "invalid"
@@ -50,7 +50,7 @@
 
 @frozen(kw_only=True)
 class ApplyResult:
-    """Say what became of a batch and which keys in force it changed."""
+    """Outcome of applying a batch and the keys in force that it changed."""
 
     outcome: ApplyOutcome
     changed_keys: frozenset[str] = frozenset()
@@ -58,11 +58,11 @@
 
     @property
     def applied(self) -> bool:
-        """Say whether the values in force moved."""
+        """Return whether the values in force advanced."""
         return self.outcome is ApplyOutcome.IN_FORCE
 
 
 def fingerprint(change: Change) -> int:
-    """Hash a change; the value's spelling (order of fields, spaces) doesn't count."""
+    """Hash a change, independent of field order and spaces in the value's encoding."""
     value = orjson.dumps(change.value, option=orjson.OPT_SORT_KEYS)
     return xxhash.xxh64_intdigest(f"{change.revision}\0{change.key}\0".encode() + value)
--- a/src/pomelobarrow/decision/member.py
+++ b/src/pomelobarrow/decision/member.py
@@ -1,4 +1,4 @@
-"""Describe entry VMs and the phases that their daemons go through."""
+"""Entry VMs as members of the cluster, and the lifecycle phases of their daemons."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class Phase(enum.Enum):
-    """Enumerate a daemon's phases; within an incarnation they only advance."""
+    """Lifecycle phase of a daemon; within an incarnation it only advances."""
 
     STARTING = "starting"
     READY = "ready"
@@ -16,14 +16,14 @@
 
 READY = Phase.READY.value
 LEFT = Phase.LEFT.value
-PHASE_ORDER = {phase.value: place for place, phase in enumerate(Phase)}
+PHASE_ORDER = {phase.value: index for index, phase in enumerate(Phase)}
 
 
 @frozen(kw_only=True)
 class Member:
-    """Describe one incarnation of an entry VM's daemon, as of one message about it.
+    """Describe one incarnation of an entry VM's daemon, as stated by one message.
 
-    Members are equal whose descriptions are, whenever they were heard.
+    Equality ignores the sequence number and when the member was last seen.
     """
 
     vm: str
@@ -40,7 +40,7 @@
 
 @frozen(kw_only=True)
 class ListedVm:
-    """Hold an entry VM as the platform's list has it; the list lags."""
+    """An entry VM as listed by the platform; the list may be out of date."""
 
     vm: str
     region: str = ""
@@ -51,19 +51,19 @@
 
 
 def name_of(member: Member) -> str:
-    """Return a member's name, its place in every order."""
+    """Return a member's VM name, the sort key for members."""
     return member.vm
 
 
 def later_phase(first: Member, second: Member) -> str:
-    """Return the later of two phases; an unknown one counts as the first."""
-    return max(first.phase, second.phase, key=_phase_place)
+    """Return the later of two phases; an unknown phase counts as the first one."""
+    return max(first.phase, second.phase, key=_phase_index)
 
 
 def advance(old: Member, new: Member) -> Member:
-    """Take the newer description, without going back to an earlier phase."""
+    """Return the newer description, without reverting to an earlier phase."""
     return evolve(new, phase=later_phase(old, new), successor=new.successor or old.successor)
 
 
-def _phase_place(phase: str) -> int:
+def _phase_index(phase: str) -> int:
     return PHASE_ORDER.get(phase, 0)
--- a/src/pomelobarrow/decision/peer_counts.py
+++ b/src/pomelobarrow/decision/peer_counts.py
@@ -1,4 +1,4 @@
-"""Keep what a peer said it has in flight, now and one heartbeat ago."""
+"""Keep the in-flight counts that a peer sent with its last two heartbeats."""
 
 from collections.abc import Mapping
 
@@ -12,7 +12,7 @@
 
 @frozen(kw_only=True)
 class PeerCounts:
-    """Hold a peer's last two heartbeats."""
+    """In-flight counts by server from a peer's last two heartbeats."""
 
     latest: Mapping[str, InFlight] = field(factory=dict)
     latest_unix_s: float = NEVER
@@ -20,7 +20,7 @@
     previous_unix_s: float = NEVER
 
     def after(self, in_flight: Mapping[str, InFlight], now_unix_s: float) -> "PeerCounts":
-        """Return the counts with one more heartbeat."""
+        """Return the counts after one more heartbeat."""
         return PeerCounts(
             latest=dict(in_flight),
             latest_unix_s=now_unix_s,
@@ -29,7 +29,7 @@
         )
 
     def without(self, server: str) -> "PeerCounts":
-        """Return the counts without a server that is gone or started again."""
+        """Return the counts without a server that is gone or has restarted."""
         return evolve(
             self,
             latest={name: count for name, count in self.latest.items() if name != server},
@@ -37,6 +37,6 @@
         )
 
     def near(self, server: str, unix_s: float) -> InFlight:
-        """Return the count of the heartbeat that is nearest to a time."""
+        """Return the count from the heartbeat that is nearest to a time."""
         is_latest = abs(self.latest_unix_s - unix_s) <= abs(self.previous_unix_s - unix_s)
         return (self.latest if is_latest else self.previous).get(server, NOTHING)
--- a/src/pomelobarrow/decision/short_key.py
+++ b/src/pomelobarrow/decision/short_key.py
@@ -1,8 +1,8 @@
-"""Name something long by four bytes in what VMs tell each other."""
+"""Four-byte keys that stand for long texts in updates between VMs."""
 
 import xxhash
 
 
 def short_key(text: str) -> int:
-    """Return four bytes that stand for a text; two of a few hundred hardly ever share them."""
+    """Return a 32-bit hash of a text; collisions among a few hundred texts are very unlikely."""
     return xxhash.xxh32_intdigest(text.encode())
--- a/src/pomelobarrow/decision/stale_load.py
+++ b/src/pomelobarrow/decision/stale_load.py
@@ -1,27 +1,28 @@
-"""Make up for what other VMs did since they were last heard."""
+"""Compensate for work that other VMs have placed since their last heartbeats."""
 
 import math
 from collections.abc import Sequence
 from random import Random
 
-# What others placed unseen is spread evenly over the time since they were heard.
-SEEN_LATE_SHARE = 0.5
+# Unseen work arrives evenly over the time since the last heartbeats, so on average this share of it
+# has arrived.
+MEAN_ARRIVED_SHARE = 0.5
 
 
 def decayed_to_mean(values: Sequence[float], age_s: float, memory_s: float) -> list[float]:
-    """Move old values towards their mean, as far as they have been worked off since."""
+    """Move old values towards their mean, since part of the work has been completed by now."""
     mean = sum(values) / len(values)
     kept = math.exp(-age_s / max(memory_s, 1e-3))
     return [mean + kept * (value - mean) for value in values]
 
 
 def choose_index(waits_s: Sequence[float], unseen_s: float, random: Random) -> int:
-    """Return where to put one piece of work, given the seconds of work placed unseen.
+    """Return the index of the server for one piece of work, given the seconds of unseen work.
 
-    With nothing unseen that is the least wait. Else every VM sees the same least one and all send
-    there, so that it is overfull before the next heartbeat. So each VM spreads its choices as the
-    unseen work would fill the servers up to one level (Dahlin, "Interpreting stale load
-    information").
+    Without unseen work that is the server with the shortest wait. Otherwise all VMs would choose
+    the same server and overload it before the next heartbeat. Each VM therefore chooses at random,
+    weighted by the unseen work that each server would take if it filled all of them to one level
+    (Dahlin, "Interpreting Stale Load Information").
     """
     level_s = fill_level_s(waits_s, unseen_s)
     weights = [max(0.0, level_s - wait) for wait in waits_s]
@@ -32,13 +33,13 @@
 
 
 def with_unseen_work(waits_s: Sequence[float], unseen_s: float) -> list[float]:
-    """Return the waits with the unseen work that has come by now on average."""
+    """Return the waits including the unseen work that has arrived by now on average."""
     level_s = fill_level_s(waits_s, unseen_s)
-    return [wait + max(0.0, level_s - wait) * SEEN_LATE_SHARE for wait in waits_s]
+    return [wait + max(0.0, level_s - wait) * MEAN_ARRIVED_SHARE for wait in waits_s]
 
 
 def fill_level_s(waits_s: Sequence[float], unseen_s: float) -> float:
-    """Return the level that the unseen work fills the servers up to."""
+    """Return the common wait that results from filling the shortest waits with unseen work."""
     ordered = sorted(waits_s)
     filled_s = 0.0
     for count, wait in enumerate(ordered, start=1):
--- a/tests/test_live_set.py
+++ b/tests/test_live_set.py
@@ -29,9 +29,9 @@
 
 def judged_one_by_one(view: MembershipView, now_unix_s: float) -> set[str]:
     """Return the live members by each one's own record."""
-    judged_unix_s = min(now_unix_s, view._awake_until_unix_s)
+    evaluated_unix_s = min(now_unix_s, view._tick_due_unix_s)
     records = view._records.values()
-    return {each.member.vm for each in records if each.is_live(judged_unix_s)}
+    return {each.member.vm for each in records if each.is_live(evaluated_unix_s)}
 
 
 EVENTS: dict[str, Callable[[MembershipView, str, int, float], object]] = {
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -8,8 +8,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from pomelobarrow.decision.heartbeat_timer import (
-    CEILING_S,
-    FLOOR_S,
+    MAX_TIMEOUT_S,
+    MIN_TIMEOUT_S,
     UNKNOWN_INTERVAL_TIMEOUT_S,
     HeartbeatTimer,
 )
@@ -122,9 +122,9 @@
             seen = self.view.get(vm)
             if seen is None or seen.phase == Phase.LEFT.value:
                 assert vm not in live
-            elif 0 <= self.now_unix_s - self.direct.get(vm, 0.0) <= FLOOR_S:
+            elif 0 <= self.now_unix_s - self.direct.get(vm, 0.0) <= MIN_TIMEOUT_S:
                 assert vm in live
-            elif self.now_unix_s - max(self.heard[vm], self.woke_unix_s) > CEILING_S:
+            elif self.now_unix_s - max(self.heard[vm], self.woke_unix_s) > MAX_TIMEOUT_S:
                 assert vm not in live
 
 
@@ -207,8 +207,8 @@
     for _ in range(2_000):
         now_unix_s += interval_s * rng.uniform(0.7, 1.3) * (2 if rng.random() < 0.02 else 1)
         false_alarms += timer.is_overdue(now_unix_s)
-        timer.hear(now_unix_s)
-        timer.hear(now_unix_s + 0.001)
+        timer.observe_heartbeat(now_unix_s)
+        timer.observe_heartbeat(now_unix_s + 0.001)
         now_unix_s += 0.001
     assert false_alarms == 0
     assert timer.is_overdue(now_unix_s + within_s)
@@ -227,7 +227,7 @@
     now_unix_s = 0.0
     for interval_s in intervals_s:
         now_unix_s += interval_s
-        timer.hear(now_unix_s)
+        timer.observe_heartbeat(now_unix_s)
     assert least_s <= timer.timeout_s <= most_s
 
 
@@ -303,8 +303,8 @@
         view.observe_heartbeat(member(sequence=second + 1), 100.0 + second)
     view.observe_link_closed("vm-b", 109.0)
 
-    assert view.suspects(109.0 + CEILING_S) == set()
-    assert view.suspects(109.0 + CEILING_S + 0.1) == {"vm-b"}
+    assert view.suspects(109.0 + MAX_TIMEOUT_S) == set()
+    assert view.suspects(109.0 + MAX_TIMEOUT_S + 0.1) == {"vm-b"}
 
 
 def test_words_on_a_member_whose_stream_was_closed_count_at_once() -> None:
