--- a/src/pomelobarrow/decision/checks.py
+++ b/src/pomelobarrow/decision/checks.py
@@ -20,7 +20,7 @@
     dict: "a mapping",
     list: "a list",
     tuple: "a list",
-    str: "a text",
+    str: "a string",
     bytes: "bytes",
     type(None): "null",
 }
@@ -51,7 +51,7 @@
 
 
 def shorten(text: str) -> str:
-    """Truncate a text to the length shown in a fault."""
+    """Truncate a string to the length shown in a fault."""
     if len(text) <= MAX_SHOWN_CHARACTERS:
         return text
     return text[:MAX_SHOWN_CHARACTERS] + "..."
@@ -134,7 +134,7 @@
 
 
 def text(pattern: re.Pattern[str], remedy: str) -> Reader:
-    """Return a reader for a text that fully matches a pattern."""
+    """Return a reader for a string that fully matches a pattern."""
 
     def read(value: Any) -> Result[Any, str]:
         if isinstance(value, str) and pattern.fullmatch(value):
--- a/src/pomelobarrow/decision/keyspace.py
+++ b/src/pomelobarrow/decision/keyspace.py
@@ -336,7 +336,9 @@
         # is behind the floor receives a gap and restarts with a full delta.
         if self._tombstones <= self.tombstones_kept:
             return
-        tombstones = [entry.change for entry in self._entries.values() if entry.change.value is None]
+        tombstones = [
+            entry.change for entry in self._entries.values() if entry.change.value is None
+        ]
         tombstones.sort(key=lambda change: change.revision)
         for change in tombstones[: len(tombstones) - self.tombstones_kept // 2]:
             self._forget(change.key)
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -1,4 +1,4 @@
-"""Clock offsets stay within their stated error, and pauses are noticed."""
+"""Clock offsets stay within their error bound, and pauses of the process are detected."""
 
 import math
 
@@ -12,7 +12,7 @@
 
 
 def exchange(offsets, at_unix_s, offset_s, there_s, back_s, held_s=0.3):
-    """Send a heartbeat at a time by our clock, and take in the peer's that echoes it."""
+    """Send a heartbeat at a time by the local clock and observe the peer's answer to it."""
     arrived_unix_s = at_unix_s + there_s
     answered_unix_s = arrived_unix_s + held_s
     return offsets.observe(
@@ -26,7 +26,7 @@
 
 @example(48576.34127150907, [(0.0, 0.0)])
 @given(st.floats(-1e5, 1e5), st.lists(st.tuples(delays_s, delays_s), min_size=1, max_size=12))
-def test_the_true_offset_lies_within_the_stated_error(offset_s, delays):
+def test_true_offset_lies_within_the_error_bound(offset_s, delays):
     offsets = ClockOffsets()
     for turn, (there_s, back_s) in enumerate(delays):
         exchange(offsets, 1e6 + turn, offset_s, there_s, back_s)
@@ -36,16 +36,16 @@
     assert offsets.to_local("peer", 1e6 + offset_s) == pytest.approx(1e6, abs=error_s)
 
 
-def test_a_peer_whose_clock_is_set_is_believed_at_once():
-    # The peer's clock is corrected by an hour. Deadlines it sends by the new clock would be an
-    # hour off for as long as the better, older samples are kept.
+def test_corrected_peer_clock_is_used_at_once():
+    # The peer's clock is corrected by an hour. Deadlines that it sends by the new clock would be an
+    # hour off for as long as the older samples, with a shorter round trip, are kept.
     offsets = ClockOffsets()
     exchange(offsets, 1_000.0, 3_600.0, 0.01, 0.01)
     exchange(offsets, 1_001.0, 0.0, 0.2, 0.2)
     assert offsets.offset_s("peer") == pytest.approx(0.0, abs=0.01)
 
 
-def test_an_unknown_peer_has_no_offset_and_no_bound():
+def test_unknown_peer_has_zero_offset_and_infinite_error():
     offsets = ClockOffsets()
     assert (offsets.to_local("peer", 5.0), offsets.error_s("peer")) == (5.0, math.inf)
     assert not exchange(offsets, 1_000.0, 0.0, 0.0, -1.0)
@@ -64,13 +64,13 @@
         pytest.param([10.0, 11.0, 4.0], 7.0, id="clock set back"),
     ],
 )
-def test_a_gap_between_ticks_tells_of_a_pause(ticks_unix_s, gap_s):
+def test_gap_between_ticks_is_reported_as_a_pause(ticks_unix_s, gap_s):
     detector = PauseDetector(expected_interval_s=1.0)
     assert [detector.tick(tick) for tick in ticks_unix_s][-1] == gap_s
 
 
-def test_message_is_never_sent_later_than_it_came() -> None:
-    # Two messages show a peer's offset; what the first one holds is taken in before.
+def test_send_time_is_never_later_than_the_receive_time() -> None:
+    # The offset of a peer is known after two messages, but the first one is already processed.
     offsets = ClockOffsets()
     assert offsets.sent_unix_s("vm-b", 1_020.0, now_unix_s=1_000.0) == 1_000.0
     assert offsets.sent_unix_s("vm-b", 998.0, now_unix_s=1_000.0) == 998.0
--- a/tests/test_configuration_check.py
+++ b/tests/test_configuration_check.py
@@ -33,7 +33,7 @@
     return check_configuration(values, REVISION).unwrap_err()
 
 
-def test_valid_values_give_a_configuration() -> None:
+def test_valid_values_build_a_configuration() -> None:
     configuration = check_configuration(PUBLISHED, REVISION).unwrap()
     assert configuration.revision == REVISION
     assert configuration.objective is Objective.TAIL_LATENCY
@@ -82,14 +82,14 @@
     ],
     ids=str,
 )
-def test_each_fault_is_named(key: str, change: Any, path: str, seen: str) -> None:
+def test_each_fault_is_reported(key: str, change: Any, path: str, seen: str) -> None:
     whole = {**PUBLISHED.get(key, {}), **change} if isinstance(change, dict) else change
     found = {fault.path: fault for fault in faults_of({**PUBLISHED, key: whole})}
     assert seen in found[path].seen
     assert found[path].remedy in str(found[path])
 
 
-def test_all_faults_are_named_at_once() -> None:
+def test_all_faults_are_reported_at_once() -> None:
     bad_class = {"pool": "nowhere", "rank": "gold", "weight": 1}
     values = {**PUBLISHED, "classes/draft": bad_class, "pools/hooks": {"kind": "shed"}}
     fields = ("pool", "rank", "weight", "first_token_target_s", "finish_target_s")
@@ -103,8 +103,8 @@
     assert "till-token" not in "".join(map(str, faults_of(values)))
 
 
-def test_checker_reads_only_changed_values_again() -> None:
-    # What the caller sees: nothing; a change of one account must not cost a reading of all.
+def test_checker_parses_only_changed_values_again() -> None:
+    # A change of one account must not cause all values to be parsed again.
     checker = ConfigurationChecker()
     before = checker.check(PUBLISHED, 1).unwrap()
     after = checker.check({**PUBLISHED, "classes/draft": {**DRAFT, "rank": "trial"}}, 2).unwrap()
@@ -120,13 +120,13 @@
 
 
 @given(values=st.dictionaries(KEYS, JSON | st.dictionaries(FIELD_NAMES, JSON)))
-def test_any_values_give_a_configuration_or_named_faults(values: dict[str, Any]) -> None:
+def test_any_values_build_a_configuration_or_report_faults(values: dict[str, Any]) -> None:
     checked = check_configuration(values, REVISION)
     assert checked.is_ok() or all(fault.path and fault.remedy for fault in checked.unwrap_err())
 
 
 @given(steps=st.lists(st.tuples(KEYS, st.dictionaries(FIELD_NAMES, JSON)), max_size=6))
-def test_incremental_check_agrees_with_a_check_from_nothing(
+def test_incremental_check_agrees_with_a_full_check(
     steps: list[tuple[str, dict[str, Any]]],
 ) -> None:
     checker = ConfigurationChecker()
--- a/tests/test_keyspace.py
+++ b/tests/test_keyspace.py
@@ -1,4 +1,4 @@
-"""A copy of a keyspace never reverts, and all copies converge whatever the order and loss."""
+"""A copy of a keyspace never reverts, and all copies converge despite reordering and loss."""
 
 import hypothesis.strategies as st
 import pytest
@@ -21,7 +21,7 @@
 
 
 class Platform:
-    """Keep every state ever published, and read them as the platform's pages do."""
+    """Keep every published state and return changes like the platform's pages."""
 
     def __init__(self):
         self.states = [{}]
@@ -44,7 +44,7 @@
 
 
 class ConfigurationNeverReverts(RuleBasedStateMachine):
-    """Copies read a lagging platform in pages and gossip over a network that loses and repeats."""
+    """Copies read a lagging platform in pages and gossip over a lossy, repeating network."""
 
     def __init__(self):
         super().__init__()
@@ -170,9 +170,9 @@
 
 @pytest.fixture
 def copy():
-    filled = KeyspaceCopy("config", refuse_invalid, tombstones_kept=4)
-    filled.apply([Change(3, "a", 1), Change(4, "b", 2)], 4, after_revision=0)
-    return filled
+    copy = KeyspaceCopy("config", refuse_invalid, tombstones_kept=4)
+    copy.apply([Change(3, "a", 1), Change(4, "b", 2)], 4, after_revision=0)
+    return copy
 
 
 @pytest.mark.parametrize(
@@ -192,7 +192,7 @@
     assert (copy.revision, dict(copy.values)) == (4, {"a": 1, "b": 2})
 
 
-def test_a_valid_revision_brings_what_an_invalid_one_held_back(copy):
+def test_valid_revision_applies_changes_of_a_refused_one(copy):
     copy.apply([Change(5, "a", 7), Change(5, "b", INVALID)], 5, after_revision=4)
     assert copy.refused_reasons == ("b is invalid",)
     result = copy.apply([Change(6, "b", 8)], 6, after_revision=5)
@@ -200,10 +200,10 @@
     assert (dict(copy.values), copy.refused_reasons) == ({"a": 7, "b": 8}, ())
 
 
-def test_deletions_that_were_pruned_are_no_conflict_when_they_come_again():
-    # A copy takes three deletions and keeps the newest two. The network repeats the same page. The
-    # deletions that were pruned look new, at a revision observed already, and operators see a
-    # conflict of two contents where there is one.
+def test_repeated_pruned_deletions_are_not_a_conflict():
+    # A copy applies three deletions and keeps the newest two. The network repeats the same page.
+    # The pruned deletions then look like new changes at an observed revision, and operators see a
+    # conflict although there is none.
     copy = KeyspaceCopy("config", refuse_invalid, tombstones_kept=2)
     copy.apply([Change(1, "a", 1)], 1, after_revision=0)
     page = [Change(2, "a", None), Change(2, "b", None), Change(3, "c", None)]
@@ -213,7 +213,7 @@
     assert (copy.observed_revision, dict(copy.values)) == (3, {})
 
 
-def test_one_revision_with_two_contents_is_counted_and_settled_the_same_way(copy):
+def test_conflicting_contents_of_a_revision_are_counted_and_converge(copy):
     other = KeyspaceCopy("config")
     other.apply([Change(3, "a", 1), Change(4, "b", 99)], 4, after_revision=0)
     assert copy.sync_after_revision(other.summary) == other.sync_after_revision(copy.summary) == 0
@@ -223,29 +223,30 @@
     assert copy.counters.conflicts == 1
 
 
-def test_the_whole_asked_for_by_an_empty_copy_is_refused_once_it_has_observed_more(copy):
+def test_full_delta_requested_by_an_empty_copy_is_refused_once_it_has_observed_more(copy):
     # A new VM asks the platform and its peers at once. A peer's older answer arrives first and
-    # holds key "a"; the platform's later whole leaves deleted keys out. Taken, "a" would stay in
-    # force for ever, and anti-entropy would bring it back on every VM.
+    # includes key "a"; the platform's later full delta omits deleted keys. If it were applied, "a"
+    # would stay in force permanently, and anti-entropy would restore it on every VM.
     result = copy.apply([Change(4, "b", 2)], 6, after_revision=0)
     assert result.outcome is ApplyOutcome.GAP
     copy.apply([Change(6, "a", None)], 6, after_revision=4)
     assert dict(copy.values) == {"b": 2}
 
 
-def test_a_copy_that_never_saw_the_good_values_takes_them_from_one_that_did(copy):
-    # "z" is deleted at 5 and "b" made invalid at 6; a VM that starts then finds only that on the
-    # platform. It serves on what the others have in force, and leaves it with the next good one.
+def test_copy_gets_the_last_valid_values_from_another_copy(copy):
+    # "z" is deleted at 5 and "b" becomes invalid at 6. A VM that starts then gets only the invalid
+    # revision from the platform. It serves with the values that the others have in force until the
+    # next valid revision.
     copy.apply([Change(4, "z", 0)], 4, after_revision=0)
-    older = copy.in_force_after(0)
+    older_delta = copy.in_force_after(0)
     copy.apply([Change(5, "z", None), Change(5, "a", 5)], 5, after_revision=4)
     new, late = (KeyspaceCopy("config", refuse_invalid) for _ in range(2))
     for each in (new, late):
         each.apply([Change(5, "a", 5), Change(6, "b", INVALID)], 6, after_revision=0)
         assert each.lacks_in_force(copy.summary)
-        assert each.apply_in_force(older).applied
+        assert each.apply_in_force(older_delta).applied
     assert new.apply_in_force(copy.in_force_after(new.revision)).applied
-    assert not new.apply_in_force(older).applied
+    assert not new.apply_in_force(older_delta).applied
     assert (new.revision, dict(new.values)) == (5, {"a": 5, "b": 2})
     copy.apply([Change(8, "b", 9)], 8, after_revision=5)
     assert not new.apply_in_force(copy.in_force_after(new.revision)).applied
@@ -253,18 +254,18 @@
     assert dict(late.values) == {"a": 5, "b": 7}
 
 
-def test_pages_begun_before_a_peer_answered_are_not_continued(copy):
-    # The first page of a whole, read before key "b" was deleted at 6, is followed by a peer's
-    # answer up to 5. Continued, the pages would skip the deletion.
+def test_pages_started_before_a_peer_answered_are_not_continued(copy):
+    # The first page of a full delta, read before key "b" was deleted at 6, is followed by a peer's
+    # answer up to 5. If the pages were continued, the deletion would be skipped.
     new = KeyspaceCopy("config")
     new.apply([Change(7, "c", 1)], 8, after_revision=0, complete=False)
     new.apply([Change(4, "b", 2)], 5, after_revision=0)
     assert new.apply([Change(8, "d", 1)], 8, after_revision=7).outcome is ApplyOutcome.GAP
 
 
-def test_a_copy_filled_by_a_whole_does_not_answer_for_earlier_deletions(copy):
-    # Key "a" is deleted at 5; a new VM, which got the whole at 6, never learns that. Its answer to
-    # a VM at 4 would move that one past the deletion with "a" still in force.
+def test_copy_filled_by_a_full_delta_does_not_answer_for_earlier_deletions(copy):
+    # Key "a" is deleted at 5; a new VM that got the full delta at 6 never receives the deletion.
+    # Its answer to a VM at 4 would advance that VM past the deletion with "a" still in force.
     new = KeyspaceCopy("config")
     new.apply([Change(6, "b", 3)], 6, after_revision=0)
     delta = new.changes_after(4)
@@ -272,14 +273,14 @@
     assert result.outcome is ApplyOutcome.GAP
 
 
-def test_a_restarted_copy_takes_nothing_older_than_it_had_observed(copy):
+def test_restarted_copy_refuses_revisions_older_than_it_had_observed(copy):
     copy.restart()
     assert copy.apply([Change(3, "a", 0)], 3, after_revision=0).outcome is ApplyOutcome.STALE
     assert copy.apply([Change(4, "b", 2)], 4, after_revision=0).changed_keys == {"a", "b"}
     assert dict(copy.values) == {"b": 2}
 
 
-def test_tombstones_stay_bounded_while_vms_come_and_go(copy):
+def test_tombstones_stay_bounded_while_vms_are_replaced(copy):
     for revision in range(5, 500, 2):
         copy.apply([Change(revision, f"vms/{revision}", 1)], revision, after_revision=4)
         gone = Change(revision + 1, f"vms/{revision}", None)
--- a/tests/test_live_set.py
+++ b/tests/test_live_set.py
@@ -1,4 +1,4 @@
-"""The live members that are kept are those that going through all members would find."""
+"""The cached live members equal those found by evaluating every member."""
 
 from collections.abc import Callable
 
@@ -27,8 +27,8 @@
     )
 
 
-def judged_one_by_one(view: MembershipView, now_unix_s: float) -> set[str]:
-    """Return the live members by each one's own record."""
+def live_by_records(view: MembershipView, now_unix_s: float) -> set[str]:
+    """Return the VMs of the live members by evaluating each record."""
     evaluated_unix_s = min(now_unix_s, view._tick_due_unix_s)
     records = view._records.values()
     return {each.member.vm for each in records if each.is_live(evaluated_unix_s)}
@@ -59,14 +59,16 @@
         max_size=60,
     )
 )
-def test_kept_members_are_those_judged_one_by_one(told: list[tuple[str, str, float]]) -> None:
+def test_cached_members_equal_those_evaluated_one_by_one(
+    steps: list[tuple[str, str, float]],
+) -> None:
     view = MembershipView("milan-0", "milan")
     now_unix_s = START_UNIX_S
-    for number, (event, vm, passed_s) in enumerate(told, start=1):
+    for number, (event, vm, passed_s) in enumerate(steps, start=1):
         now_unix_s += passed_s
         EVENTS[event](view, vm, number, now_unix_s)
         live = {each.vm for each in view.live_peers(now_unix_s=now_unix_s)}
-        assert live == judged_one_by_one(view, now_unix_s)
+        assert live == live_by_records(view, now_unix_s)
         known = {each.vm: each for each in view.known()}
         silent = {vm for vm, each in known.items() if vm not in live and each.phase != LEFT}
         assert view.suspects(now_unix_s) == silent
@@ -79,7 +81,7 @@
     return view
 
 
-def test_what_follows_from_the_members_is_derived_once_while_they_last(
+def test_memoized_value_is_kept_while_the_members_are_unchanged(
     view: MembershipView,
 ) -> None:
     memoized = [view.memoized("names", list, START_UNIX_S + n) for n in range(5)]
@@ -96,7 +98,7 @@
     ],
     ids=["a new member", "a member that left", "another list"],
 )
-def test_what_follows_from_the_members_is_derived_anew(
+def test_memoized_value_is_computed_again_after_a_change(
     view: MembershipView, change: Callable[[MembershipView], None]
 ) -> None:
     before = view.memoized("names", list, START_UNIX_S)
--- a/tests/test_long_silent_vm.py
+++ b/tests/test_long_silent_vm.py
@@ -1,4 +1,4 @@
-"""A VM that lost its power is no longer named to callers, whatever is said of it."""
+"""A VM that lost power is no longer returned to callers, regardless of reports about it."""
 
 from attrs import evolve
 from relay_harness import HOST, route
@@ -13,9 +13,9 @@
 REGION = "tallinn"
 DOMAIN = "tln-hall-a"
 LOST = "vm-1"
-# Callers may be led to a VM for this long after it lost its power, as the platform's pages say of
-# VMs whose silence lasts.
-NAMED_AT_MOST_S = 8.0
+# The platform's documentation allows callers to be directed to a silent VM for this long after it
+# lost power.
+MAX_STALE_S = 8.0
 POWER_LOST_UNIX_S = 1_000.0
 
 
@@ -32,7 +32,7 @@
 
 
 def view_after_heartbeats(count: int, gap_before_last_s: float = 1.0) -> MembershipView:
-    """Return the view of vm-2, with vm-1's heartbeats of a second each until its power is lost."""
+    """Return the view of vm-2 after heartbeats of vm-1, one second apart, until vm-1 lost power."""
     view = MembershipView("vm-2", REGION)
     view.observe_own(evolve(ready("vm-2"), phase=Phase.READY.value))
     last_unix_s = POWER_LOST_UNIX_S - 0.7
@@ -43,7 +43,7 @@
     return view
 
 
-def named(view: MembershipView, now_unix_s: float) -> list[str]:
+def vms_for_callers(view: MembershipView, now_unix_s: float) -> list[str]:
     directory = RelayDirectory(
         view=view,
         wire=platform_wire(),
@@ -55,46 +55,47 @@
     return [member.vm for member in directory._members(query, now_unix_s)]
 
 
-def test_word_of_a_last_heartbeat_does_not_bring_a_silent_vm_back() -> None:
-    """A VM lost its power and callers were led to it for fifteen seconds more.
+def test_report_of_a_last_heartbeat_does_not_revive_a_silent_vm() -> None:
+    """A VM lost power and callers were directed to it for another fifteen seconds.
 
-    Its neighbour had judged it silent in time: "member silent", heard_age_s 3.4, allowed_silence_s
-    3.0. As it had been a relay, others now opened links to the neighbour, and a link begins with
-    all that the other end knows. One had heard the last heartbeat half a second later than the
-    neighbour itself: "member heard", told_by a VM of another region, heard_age_s 3.8,
-    allowed_silence_s 15.0. The word was newer by that half second, so that it replaced the pace
-    that had been learned by the time allowed to VMs of which only others speak.
+    Its neighbour had detected the silence in time: "member silent", heard_age_s 3.4,
+    allowed_silence_s 3.0. The lost VM had been a relay, so other VMs opened links to the neighbour,
+    and the first message on a link includes all members known to the sender. One of them had
+    received the last heartbeat half a second later than the neighbour: "member heard", told_by a VM
+    of another region, heard_age_s 3.8, allowed_silence_s 15.0. Because the report was newer by that
+    half second, it replaced the timeout learned from heartbeats by the longer one for members known
+    only from reports.
     """
     view = view_after_heartbeats(20)
     silent_unix_s = POWER_LOST_UNIX_S + 3.2
-    assert named(view, silent_unix_s) == ["vm-2"]
-    last_heard = ready(LOST, last_seen_unix_s=POWER_LOST_UNIX_S - 0.2)
+    assert vms_for_callers(view, silent_unix_s) == ["vm-2"]
+    last_report = ready(LOST, last_seen_unix_s=POWER_LOST_UNIX_S - 0.2)
 
-    view.observe_summary(last_heard, silent_unix_s + 0.5)
+    view.observe_summary(last_report, silent_unix_s + 0.5)
     view.observe_last_seen(LOST, 1, POWER_LOST_UNIX_S - 0.1, silent_unix_s + 0.6)
 
     assert LOST in view.suspects(silent_unix_s + 1.0)
-    assert named(view, silent_unix_s + 1.0) == ["vm-2"]
-    assert named(view, POWER_LOST_UNIX_S + NAMED_AT_MOST_S) == ["vm-2"]
+    assert vms_for_callers(view, silent_unix_s + 1.0) == ["vm-2"]
+    assert vms_for_callers(view, POWER_LOST_UNIX_S + MAX_STALE_S) == ["vm-2"]
 
 
-def test_vm_whose_pace_is_not_known_is_not_named_for_long() -> None:
-    """A VM started again, lost its power 2.4 s later and was named for 14 s more.
+def test_vm_with_unknown_interval_is_not_returned_for_long() -> None:
+    """A VM restarted, lost power 2.4 s later and was returned to callers for another 14 s.
 
-    Its neighbour had heard it directly, but fewer than four times: "member silent", told_by empty,
-    heard_age_s 15.4, allowed_silence_s 15.0. A link that was broken for ten seconds stretches the
-    pace that is learned in the same way (allowed_silence_s 13.3), and a pause of the neighbour's
-    own begins the count anew. However long a VM may be hoped to live, callers aren't led to one
-    that nobody has heard for seconds.
+    Its neighbour had received heartbeats from it directly, but fewer than four: "member silent",
+    told_by empty, heard_age_s 15.4, allowed_silence_s 15.0. A link that was broken for ten seconds
+    increases the learned timeout in the same way (allowed_silence_s 13.3), and a pause of the
+    neighbour restarts the timer. Regardless of the timeout, callers must not be directed to a VM
+    that nobody has seen for seconds.
     """
-    started_again = view_after_heartbeats(3)
+    restarted = view_after_heartbeats(3)
 
     link_was_broken = view_after_heartbeats(20, gap_before_last_s=10.0)
-    stood_still = view_after_heartbeats(20)
-    stood_still.observe_pause(POWER_LOST_UNIX_S + 1.0, 1.6)
-    stood_still.observe_pause(POWER_LOST_UNIX_S + 3.0, 1.6)
-    stood_still.observe_pause(POWER_LOST_UNIX_S + 5.0, 1.6)
-
-    for view in (started_again, link_was_broken, stood_still):
-        assert named(view, POWER_LOST_UNIX_S + 1.0) == [LOST, "vm-2"]
-        assert named(view, POWER_LOST_UNIX_S + NAMED_AT_MOST_S) == ["vm-2"]
+    paused = view_after_heartbeats(20)
+    paused.observe_pause(POWER_LOST_UNIX_S + 1.0, 1.6)
+    paused.observe_pause(POWER_LOST_UNIX_S + 3.0, 1.6)
+    paused.observe_pause(POWER_LOST_UNIX_S + 5.0, 1.6)
+
+    for view in (restarted, link_was_broken, paused):
+        assert vms_for_callers(view, POWER_LOST_UNIX_S + 1.0) == [LOST, "vm-2"]
+        assert vms_for_callers(view, POWER_LOST_UNIX_S + MAX_STALE_S) == ["vm-2"]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""The view of the entry VMs: who answers, who is suspect, who took over from whom."""
+"""The view of the entry VMs: which are live or suspect, and their successors."""
 
 import random
 from collections import Counter
@@ -40,7 +40,7 @@
 
 
 class ViewFollowsEvidence(RuleBasedStateMachine):
-    """One daemon hears members, old messages and rumours, and sleeps now and then."""
+    """One daemon receives heartbeats, old messages and reports, and pauses now and then."""
 
     def __init__(self):
         super().__init__()
@@ -48,9 +48,9 @@
         self.view = view_of()
         self.incarnation = dict.fromkeys(VMS, 1)
         self.sequence = Counter()
-        # When a VM was last heard by anyone, by this daemon itself, and when this one last slept.
-        self.heard, self.direct = {}, {}
-        self.woke_unix_s = 0.0
+        # When a VM was last seen by anyone and by this daemon, and when this daemon last resumed.
+        self.last_seen, self.direct = {}, {}
+        self.resumed_unix_s = 0.0
         self.best = dict.fromkeys(VMS, (0, 0))
 
     @rule(vm=vms, phase=st.sampled_from(PHASES[:3]))
@@ -58,15 +58,15 @@
         self.sequence[vm] += 1
         sent = member(vm, self.incarnation[vm], self.sequence[vm], phase)
         assert self.view.observe_heartbeat(sent, self.now_unix_s)
-        self.heard[vm] = self.direct[vm] = self.now_unix_s
+        self.last_seen[vm] = self.direct[vm] = self.now_unix_s
 
     @rule(vm=vms, phase=st.sampled_from(PHASES), age_s=st.sampled_from([0.0, 20.0, 700.0]))
-    def rumour(self, vm, phase, age_s):
+    def seen_by_peer(self, vm, phase, age_s):
         last_seen_unix_s = self.now_unix_s - age_s
-        said = member(vm, self.incarnation[vm], 0, phase, last_seen_unix_s=last_seen_unix_s)
-        if self.view.observe_summary(said, self.now_unix_s):
+        reported = member(vm, self.incarnation[vm], 0, phase, last_seen_unix_s=last_seen_unix_s)
+        if self.view.observe_summary(reported, self.now_unix_s):
             assert age_s < self.view.forget_after_s
-            self.heard[vm] = max(self.heard.get(vm, 0.0), last_seen_unix_s)
+            self.last_seen[vm] = max(self.last_seen.get(vm, 0.0), last_seen_unix_s)
 
     @rule(vm=vms)
     def late_messages_change_nothing(self, vm):
@@ -99,59 +99,59 @@
         self.now_unix_s += gap_s
         self.view.observe_pause(self.now_unix_s, abs(gap_s))
         assert live_names(self.view, self.now_unix_s) >= before
-        self.woke_unix_s = self.now_unix_s
+        self.resumed_unix_s = self.now_unix_s
         if gap_s < 0:
-            # Times by the clock before it was set back compare with nothing.
+            # Times taken before the clock was set back can't be compared with later ones.
             self.direct.clear()
-            self.heard = {vm: min(at, self.now_unix_s) for vm, at in self.heard.items()}
+            self.last_seen = {vm: min(at, self.now_unix_s) for vm, at in self.last_seen.items()}
 
     @invariant()
-    def newest_incarnation_and_latest_phase_stay(self):
+    def newest_incarnation_and_latest_phase_are_kept(self):
         for vm in VMS:
-            seen = self.view.get(vm)
-            if seen is not None:
-                place = (seen.incarnation, PHASES.index(seen.phase))
-                assert place >= self.best[vm]
-                self.best[vm] = place
+            known = self.view.get(vm)
+            if known is not None:
+                progress = (known.incarnation, PHASES.index(known.phase))
+                assert progress >= self.best[vm]
+                self.best[vm] = progress
 
     @invariant()
-    def who_speaks_is_live_and_who_is_silent_is_not(self):
+    def members_are_live_exactly_while_not_silent(self):
         live = live_names(self.view, self.now_unix_s)
         assert not live & self.view.suspects(self.now_unix_s)
         for vm in VMS:
-            seen = self.view.get(vm)
-            if seen is None or seen.phase == Phase.LEFT.value:
+            known = self.view.get(vm)
+            if known is None or known.phase == Phase.LEFT.value:
                 assert vm not in live
             elif 0 <= self.now_unix_s - self.direct.get(vm, 0.0) <= MIN_TIMEOUT_S:
                 assert vm in live
-            elif self.now_unix_s - max(self.heard[vm], self.woke_unix_s) > MAX_TIMEOUT_S:
+            elif self.now_unix_s - max(self.last_seen[vm], self.resumed_unix_s) > MAX_TIMEOUT_S:
                 assert vm not in live
 
 
 TestViewFollowsEvidence = ViewFollowsEvidence.TestCase
 
 
-def test_after_a_pause_the_view_is_distrusted_until_each_member_spoke_or_had_its_time():
-    # The daemon sleeps for a minute while its peers go on. By the clock alone all of them would
-    # be dead, and it would take over their work.
+def test_view_is_untrusted_after_a_pause_until_each_member_sent_a_heartbeat_or_timed_out():
+    # The daemon pauses for a minute while its peers go on. By the clock alone all of them would be
+    # dead, and it would take over their work.
     view = view_of(member("vm-b"), member("vm-c"))
     view.observe_pause(160.0, 60.0)
     assert live_names(view, 160.0) == {"vm-b", "vm-c"}
     assert not view.is_trusted(160.0)
     view.observe_heartbeat(member("vm-b", sequence=2), 161.0)
     assert not view.is_trusted(161.0)
-    # Each has spoken once, so that its pace isn't known.
+    # Each member has sent one heartbeat, so its interval is unknown.
     assert view.is_trusted(160.0 + UNKNOWN_INTERVAL_TIMEOUT_S + 0.1)
     assert live_names(view, 160.0 + UNKNOWN_INTERVAL_TIMEOUT_S + 0.1) == {"vm-b"}
 
 
-def test_a_member_dead_before_our_pause_stays_dead():
+def test_member_dead_before_a_pause_stays_dead():
     view = view_of(member())
     view.observe_pause(200.0, 60.0)
     assert view.suspects(200.0) == {"vm-b"}
 
 
-def test_rumours_count_again_after_the_clock_was_set_back():
+def test_reports_count_again_after_the_clock_was_set_back():
     view = view_of()
     view.observe_summary(member(last_seen_unix_s=5_000.0), 5_000.0)
     view.observe_pause(1_000.0, 4_000.0)
@@ -186,7 +186,7 @@
     assert [each.vm for each in view.contacts(100.0)] == ["vm-z"]
 
 
-def test_a_year_of_replacements_leaves_no_trace():
+def test_replaced_members_are_forgotten():
     view = view_of()
     for number in range(62_000):
         now_unix_s = number * 500.0
@@ -200,7 +200,7 @@
 
 
 @pytest.mark.parametrize(("interval_s", "within_s"), [(0.5, 2.6), (1.0, 5.0), (3.0, 15.0)])
-def test_silence_is_noticed_by_the_pace_that_it_breaks(interval_s, within_s):
+def test_silence_is_detected_relative_to_the_heartbeat_interval(interval_s, within_s):
     rng = random.Random(7)
     timer = HeartbeatTimer()
     now_unix_s, false_alarms = 0.0, 0
@@ -222,7 +222,7 @@
         pytest.param(([0.4] * 9 + [2.9]) * 5, 2.9, 6.0, id="an uneven pace"),
     ],
 )
-def test_timeout_follows_the_pace_and_not_its_accidents(intervals_s, least_s, most_s):
+def test_timeout_follows_the_interval_and_ignores_outliers(intervals_s, least_s, most_s):
     timer = HeartbeatTimer()
     now_unix_s = 0.0
     for interval_s in intervals_s:
@@ -231,7 +231,7 @@
     assert least_s <= timer.timeout_s <= most_s
 
 
-def test_a_rumour_does_not_stretch_the_timeout_of_a_member_that_speaks_itself():
+def test_report_does_not_extend_the_timeout_of_a_member_with_direct_heartbeats():
     view = view_of()
     for second in range(10):
         view.observe_heartbeat(member(sequence=second + 1), 100.0 + second)
@@ -239,7 +239,7 @@
     assert view.suspects(115.0) == {"vm-b"}
 
 
-def test_watchers_and_relays_are_few_the_same_everywhere_and_in_different_failure_domains():
+def test_watchers_and_relays_agree_across_vms_and_span_failure_domains():
     members = [member(f"vm-{n}", failure_domain=f"d{n % 3}") for n in range(12)]
     views = [MembershipView(each.vm, "milan") for each in members]
     for view, own in zip(views, members, strict=True):
@@ -252,7 +252,7 @@
         assert len({each.failure_domain for each in choose(views[0], "milan")}) == 2
 
 
-def test_a_lost_member_moves_only_its_own_keys():
+def test_lost_member_moves_only_its_own_keys():
     names = [f"vm-{n}" for n in range(10)]
     keys = [f"key-{n}" for n in range(1_000)]
     before = {key: rendezvous(key, names, 1) for key in keys}
@@ -261,42 +261,42 @@
     assert 50 < len(moved) < 150
 
 
-def test_late_heartbeat_does_not_bring_a_silent_member_back() -> None:
-    """A member falls silent; another VM says that it was heard a while ago.
+def test_late_heartbeat_does_not_revive_a_silent_member() -> None:
+    """A member falls silent; another VM reports that it was seen a while ago.
 
-    Its last heartbeat, sent before the silence and delayed on its way, arrives once more. Taken as
-    new, the member would count as live and get requests.
+    The member's last heartbeat, sent before the silence and delayed on the network, arrives again.
+    If it counted as new, the member would be live again and get requests.
     """
     view = MembershipView("vm-a", "milan")
-    heard = Member(vm="vm-b", incarnation=1, region="milan", phase="starting", sequence=1)
-    assert view.observe_heartbeat(heard, 1_000.0)
-    rumour = Member(
+    heartbeat = Member(vm="vm-b", incarnation=1, region="milan", phase="starting", sequence=1)
+    assert view.observe_heartbeat(heartbeat, 1_000.0)
+    report = Member(
         vm="vm-b", incarnation=1, region="milan", phase="starting", last_seen_unix_s=1_000.0
     )
-    view.observe_summary(rumour, 1_020.0)
-    assert not view.observe_heartbeat(heard, 1_020.0)
+    view.observe_summary(report, 1_020.0)
+    assert not view.observe_heartbeat(heartbeat, 1_020.0)
 
 
-def test_a_vm_that_stops_before_its_pace_is_known_is_silent_within_seconds() -> None:
-    """Work is passed on to a VM without power for fifteen seconds.
+def test_vm_that_stops_with_an_unknown_interval_is_silent_within_seconds() -> None:
+    """Work is forwarded to a VM without power for fifteen seconds.
 
-    It starts, is heard two or three times and loses its power. Its pace isn't known yet, so that it
-    was allowed the longest silence of all; each request sent there comes back after a moment.
+    The VM starts, sends two or three heartbeats and loses power. With its interval still unknown it
+    was given the maximum timeout, and each request forwarded to it failed and came back.
     """
-    for heard in (1, 2, 3):
+    for heartbeats in (1, 2, 3):
         view = view_of(member("vm-b", sequence=1))
-        for number in range(1, heard):
+        for number in range(1, heartbeats):
             view.observe_heartbeat(member("vm-b", sequence=1 + number), 100.0 + number)
-        last_unix_s = 100.0 + heard - 1
+        last_unix_s = 100.0 + heartbeats - 1
         assert view.suspects(last_unix_s + UNKNOWN_INTERVAL_TIMEOUT_S) == set()
         assert view.suspects(last_unix_s + UNKNOWN_INTERVAL_TIMEOUT_S + 0.1) == {"vm-b"}
 
 
-def test_a_member_whose_stream_was_closed_is_not_taken_for_silent() -> None:
+def test_member_whose_stream_was_closed_does_not_count_as_silent() -> None:
     """Ready VMs of other regions count as dead for some seconds after a fleet has started.
 
-    All VMs speak to each other at first; then most streams between regions are closed, and the next
-    word on those VMs comes from a relay, later than the next heartbeat would have come.
+    All VMs connect to each other at first. Then most streams between regions are closed, and the
+    next report about those VMs arrives through a relay, later than their next heartbeat would have.
     """
     view = view_of()
     for second in range(10):
@@ -307,7 +307,7 @@
     assert view.suspects(109.0 + MAX_TIMEOUT_S + 0.1) == {"vm-b"}
 
 
-def test_words_on_a_member_whose_stream_was_closed_count_at_once() -> None:
+def test_reports_of_a_member_whose_stream_was_closed_count_at_once() -> None:
     view = view_of()
     view.observe_heartbeat(member(sequence=1), 100.0)
     view.observe_link_closed("vm-b", 100.5)
@@ -316,7 +316,7 @@
     assert view.last_seen_unix_s("vm-b") == 101.0
 
 
-def test_a_member_that_speaks_again_is_judged_by_its_pace_again() -> None:
+def test_member_that_sends_heartbeats_again_has_their_timeout_again() -> None:
     view = view_of()
     view.observe_heartbeat(member(sequence=1), 100.0)
     view.observe_link_closed("vm-b", 100.5)
@@ -325,7 +325,7 @@
     assert view.suspects(101.0 + UNKNOWN_INTERVAL_TIMEOUT_S + 0.1) == {"vm-b"}
 
 
-def test_closing_a_stream_brings_no_silent_member_back() -> None:
+def test_closing_a_stream_does_not_revive_a_silent_member() -> None:
     view = view_of()
     view.observe_heartbeat(member(sequence=1), 100.0)
     assert view.suspects(106.0) == {"vm-b"}
