--- a/bench/profile/region.py
+++ b/bench/profile/region.py
@@ -245,11 +245,13 @@
         )
 
 
-def other_members(size: RegionSize, heard_unix_s: float) -> list[Member]:
+def other_members(size: RegionSize, last_seen_unix_s: float) -> list[Member]:
     """Return the daemons of the other regions."""
     numbers = range(size.other_daemons)
     regions = max(1, size.other_regions)
-    return [_member(f"r{1 + n % regions:02d}", f"x-vm{n:03d}", n, heard_unix_s) for n in numbers]
+    return [
+        _member(f"r{1 + n % regions:02d}", f"x-vm{n:03d}", n, last_seen_unix_s) for n in numbers
+    ]
 
 
 def published_state(size: RegionSize) -> PublishedState:
@@ -319,7 +321,7 @@
     }
 
 
-def _member(region: str, vm: str, number: int, heard_unix_s: float = 0.0) -> Member:
+def _member(region: str, vm: str, number: int, last_seen_unix_s: float = 0.0) -> Member:
     address = f"10.0.{number // 250}.{number % 250}"
     return Member(
         vm=vm,
@@ -328,7 +330,7 @@
         failure_domain=f"{region}-{'ab'[number % 2]}",
         caller_address=f"{address}:8080",
         peer_address=f"{address}:8090",
-        heard_unix_s=heard_unix_s,
+        last_seen_unix_s=last_seen_unix_s,
     )
 
 
--- a/src/pomelobarrow/decision/peer_reach.py
+++ b/src/pomelobarrow/decision/connect_backoff.py
@@ -2,7 +2,7 @@
 
 from attrs import define, field
 
-FIRST_PAUSE_S = 0.5
+FIRST_BACKOFF_S = 0.5
 # A link that heals is in use again within this time; a request a pause is what a peer costs that
 # stays unreachable.
 MAX_PAUSE_S = 4.0
@@ -15,7 +15,7 @@
 
 
 @define
-class PeerReach:
+class ConnectBackoff:
     """Hold which peers took no connection of late.
 
     Heartbeats on connections that are already up tell nothing of new ones, and silence takes
@@ -26,15 +26,15 @@
 
     _pauses: dict[str, _Pause] = field(factory=dict)
 
-    def note_unreached(self, vm: str, now_unix_s: float) -> None:
+    def note_connect_failure(self, vm: str, now_unix_s: float) -> None:
         """Take in a failed connection; those that were under way meanwhile count once."""
         last = self._pauses.get(vm)
         if last is not None and now_unix_s < last.until_unix_s:
             return
-        length_s = FIRST_PAUSE_S if last is None else min(MAX_PAUSE_S, 2.0 * last.length_s)
+        length_s = FIRST_BACKOFF_S if last is None else min(MAX_PAUSE_S, 2.0 * last.length_s)
         self._pauses[vm] = _Pause(length_s, now_unix_s + length_s)
 
-    def note_reached(self, vm: str) -> None:
+    def note_connected(self, vm: str) -> None:
         """Take in an answer."""
         self._pauses.pop(vm, None)
 
--- a/src/pomelobarrow/decision/silence.py
+++ b/src/pomelobarrow/decision/heartbeat_timer.py
@@ -8,7 +8,7 @@
 CEILING_S = 15.0
 # What a member is allowed that has spoken itself, until its pace is known: heartbeats come each
 # second. Work was passed on to VMs without power for 15 s that had just started.
-UNKNOWN_PACE_S = 5.0
+UNKNOWN_INTERVAL_TIMEOUT_S = 5.0
 # Weights of a new interval in the mean and in the deviation, as in TCP's retransmission timer.
 MEAN_GAIN = 1 / 8
 DEVIATION_GAIN = 1 / 4
@@ -25,7 +25,7 @@
 class HeartbeatTimer:
     """Hold when a member was last heard and how regularly it speaks."""
 
-    heard_unix_s: float | None = None
+    last_seen_unix_s: float | None = None
     mean_s: float | None = field(default=None, init=False)
     deviation_s: float = field(default=0.0, init=False)
     _intervals: int = field(default=0, init=False)
@@ -38,16 +38,16 @@
 
     def hear(self, now_unix_s: float) -> None:
         """Take a heartbeat."""
-        if self.heard_unix_s is not None and self._in_interval:
-            self._learn(now_unix_s - self.heard_unix_s)
-        self.heard_unix_s = now_unix_s
+        if self.last_seen_unix_s is not None and self._in_interval:
+            self._learn(now_unix_s - self.last_seen_unix_s)
+        self.last_seen_unix_s = now_unix_s
         self._restarted_unix_s = None
         self._in_interval = self._spoke_itself = True
 
-    def hear_of(self, heard_unix_s: float, timeout_s: float | None = None) -> None:
+    def hear_of(self, last_seen_unix_s: float, timeout_s: float | None = None) -> None:
         """Take word from another that it was heard; this says nothing of its interval."""
         self._word_timeout_s = timeout_s
-        self.heard_unix_s = heard_unix_s
+        self.last_seen_unix_s = last_seen_unix_s
         self.mean_s = None
         self._intervals = 0
         self._restarted_unix_s = None
@@ -80,7 +80,7 @@
         if not self._spoke_itself:
             return self._word_timeout_s or CEILING_S
         if self.mean_s is None or self._intervals < INTERVALS_TO_TRUST:
-            return UNKNOWN_PACE_S
+            return UNKNOWN_INTERVAL_TIMEOUT_S
         expected_s = MEANS_ALLOWED * self.mean_s + DEVIATIONS_ALLOWED * self.deviation_s
         return min(max(expected_s, FLOOR_S), CEILING_S)
 
@@ -88,7 +88,9 @@
         """Return how long it has been silent, not counting time before a restart."""
         since_unix_s = self._restarted_unix_s
         if since_unix_s is None:
-            since_unix_s = self.heard_unix_s if self.heard_unix_s is not None else now_unix_s
+            since_unix_s = (
+                self.last_seen_unix_s if self.last_seen_unix_s is not None else now_unix_s
+            )
         return max(0.0, now_unix_s - since_unix_s)
 
     @property
@@ -96,7 +98,7 @@
         """Return until when the silence is no longer than the timeout."""
         since_unix_s = self._restarted_unix_s
         if since_unix_s is None:
-            since_unix_s = self.heard_unix_s
+            since_unix_s = self.last_seen_unix_s
         return math.inf if since_unix_s is None else since_unix_s + self.timeout_s
 
     def is_overdue(self, now_unix_s: float) -> bool:
--- a/src/pomelobarrow/decision/keyspace.py
+++ b/src/pomelobarrow/decision/keyspace.py
@@ -132,7 +132,7 @@
         """Return the revision from which to ask for the next page."""
         return self._pending.received_revision if self._pending else self.observed_revision
 
-    def needs(self, other: KeyspaceSummary) -> int | None:
+    def sync_after_revision(self, other: KeyspaceSummary) -> int | None:
         """Return the revision after which to ask the other copy, None when in step with it."""
         if other.revision > self.observed_revision:
             return self.observed_revision
--- a/src/pomelobarrow/decision/live_set.py
+++ b/src/pomelobarrow/decision/live_set.py
@@ -21,7 +21,7 @@
     # Counts the changes of the live members and of the listed VMs.
     version: int = 0
     # What was derived from them, by a key of whoever derived it.
-    derived: dict[str, object] = field(factory=dict)
+    memoized: dict[str, object] = field(factory=dict)
     suspects: frozenset[str] = frozenset()
     _from_unix_s: float = math.inf
     _due_unix_s: float = -math.inf
@@ -32,14 +32,14 @@
         """Say whether the last look is still true."""
         return self._from_unix_s <= now_unix_s <= self._due_unix_s
 
-    def expire(self) -> None:
+    def invalidate(self) -> None:
         """Look up anew at the next question."""
         self._due_unix_s = -math.inf
 
     def note(self, record: MemberRecord, before: Member) -> None:
         """Take in that a member was heard, and how it was described before."""
         if not record.is_counted_live or record.member is not before:
-            self.expire()
+            self.invalidate()
         # A pace that becomes known shortens the silence that is allowed.
         self._due_unix_s = min(self._due_unix_s, record.timer.due_unix_s)
 
@@ -74,4 +74,4 @@
         """Drop what was derived from other members or another list."""
         self.version += 1
         self._by_region.clear()
-        self.derived.clear()
+        self.memoized.clear()
--- a/src/pomelobarrow/decision/member.py
+++ b/src/pomelobarrow/decision/member.py
@@ -33,7 +33,7 @@
     caller_address: str = ""
     peer_address: str = ""
     phase: str = READY
-    heard_unix_s: float = field(default=0.0, eq=False)
+    last_seen_unix_s: float = field(default=0.0, eq=False)
     sequence: int = field(default=0, eq=False)
     successor: str = ""
 
--- a/src/pomelobarrow/decision/member_record.py
+++ b/src/pomelobarrow/decision/member_record.py
@@ -2,8 +2,8 @@
 
 from attrs import define, frozen
 
+from pomelobarrow.decision.heartbeat_timer import HeartbeatTimer
 from pomelobarrow.decision.member import LEFT, Member, advance
-from pomelobarrow.decision.silence import HeartbeatTimer
 
 # Heartbeats are 1.1 s apart at most; two VMs hear the last one of a third so far apart at most,
 # and the rest is for delays on the way.
@@ -16,14 +16,14 @@
 
 
 @frozen(kw_only=True)
-class Judgement:
+class LivenessStatus:
     """Say whether a member counts as live, and on which evidence."""
 
     member: Member
     is_live: bool
     # The peer whose word on it counts, empty where it was heard itself.
-    told_by: str
-    heard_age_s: float
+    reported_by: str
+    last_seen_age_s: float
     # The silence after which it is suspect.
     allowed_silence_s: float
 
@@ -35,12 +35,12 @@
     member: Member
     timer: HeartbeatTimer
     # When it was last heard, by this VM or by one that told of it, and its last heartbeat's number.
-    heard_unix_s: float
+    last_seen_unix_s: float
     sequence: int = 0
     # Whether this VM itself was heard, not only others that spoke of it.
     direct: bool = False
     # The peer whose word was taken last, empty where it was heard itself.
-    told_by: str = ""
+    reported_by: str = ""
     # Until then its age is put down to a pause of this VM's own.
     excused_until_unix_s: float = 0.0
     # Whether it was among the live ones when these were last looked up.
@@ -52,7 +52,7 @@
         """Say whether it neither left nor is silent for too long."""
         return self.member.phase != LEFT and not self.timer.is_overdue(now_unix_s)
 
-    def is_news(self, heard_unix_s: float, now_unix_s: float) -> bool:
+    def is_news(self, last_seen_unix_s: float, now_unix_s: float) -> bool:
         """Say whether another VM's word shows more of a member than is known here.
 
         Of a member that spoke here itself, others heard the last heartbeat up to an interval later;
@@ -61,13 +61,13 @@
         its own silence is too long, its own word counts alone.
         """
         if not self.direct:
-            return heard_unix_s > self.heard_unix_s
-        spoke_since = heard_unix_s > self.heard_unix_s + WORD_MARGIN_S
+            return last_seen_unix_s > self.last_seen_unix_s
+        spoke_since = last_seen_unix_s > self.last_seen_unix_s + WORD_MARGIN_S
         return spoke_since and self.timer.is_overdue(now_unix_s)
 
     def is_fresh(self, now_unix_s: float) -> bool:
         """Say whether it was heard a moment ago, a pause of this VM's own left out."""
-        is_heard = now_unix_s - self.heard_unix_s <= NAMED_WITHIN_S
+        is_heard = now_unix_s - self.last_seen_unix_s <= NAMED_WITHIN_S
         return is_heard or now_unix_s <= self.excused_until_unix_s
 
     def excuse(self, now_unix_s: float, gap_s: float) -> None:
@@ -78,26 +78,28 @@
         if self.is_fresh(now_unix_s - gap_s):
             self.excused_until_unix_s = now_unix_s + WAKE_GRACE_S
 
-    def take_heartbeat(self, heartbeat: Member, heard_unix_s: float) -> None:
+    def take_heartbeat(self, heartbeat: Member, last_seen_unix_s: float) -> None:
         """Take its own word, the strongest evidence."""
         if heartbeat != self.member:
             self.member = advance(self.member, heartbeat)
-        self.heard_unix_s, self.sequence = heard_unix_s, heartbeat.sequence
+        self.last_seen_unix_s, self.sequence = last_seen_unix_s, heartbeat.sequence
         self.direct = True
-        self.told_by = ""
-        self.timer.hear(heard_unix_s)
+        self.reported_by = ""
+        self.timer.hear(last_seen_unix_s)
 
-    def take_word(self, heard_unix_s: float, told_by: str, timeout_s: float | None = None) -> None:
+    def take_word(
+        self, last_seen_unix_s: float, reported_by: str, timeout_s: float | None = None
+    ) -> None:
         """Take that another VM heard it, from now on the evidence that counts."""
         self.direct = False
-        self.told_by = told_by
-        self.heard_unix_s = heard_unix_s
-        self.timer.hear_of(heard_unix_s, timeout_s)
+        self.reported_by = reported_by
+        self.last_seen_unix_s = last_seen_unix_s
+        self.timer.hear_of(last_seen_unix_s, timeout_s)
 
     def await_words(self) -> None:
         """Judge it by others' words from now on; they come more seldom than its own."""
         self.direct = False
-        self.timer.hear_of(self.heard_unix_s)
+        self.timer.hear_of(self.last_seen_unix_s)
 
     def is_newer(self, heartbeat: Member) -> bool:
         """Say whether a heartbeat is later than all that was heard of the member."""
@@ -108,12 +110,12 @@
         is_first = not self.direct and self.sequence == 0
         return is_first or heartbeat.sequence > self.sequence
 
-    def judgement(self, now_unix_s: float) -> Judgement:
+    def judgement(self, now_unix_s: float) -> LivenessStatus:
         """Return how it was judged last, and on which evidence."""
-        return Judgement(
+        return LivenessStatus(
             member=self.member,
             is_live=self.was_live,
-            told_by=self.told_by,
-            heard_age_s=now_unix_s - self.heard_unix_s,
+            reported_by=self.reported_by,
+            last_seen_age_s=now_unix_s - self.last_seen_unix_s,
             allowed_silence_s=self.timer.timeout_s,
         )
--- a/src/pomelobarrow/decision/member_roles.py
+++ b/src/pomelobarrow/decision/member_roles.py
@@ -37,7 +37,7 @@
         members = view.live(region, now_unix_s)
         return _pick(key, members, len(members))
 
-    return view.derived(key, rank, now_unix_s)
+    return view.memoized(key, rank, now_unix_s)
 
 
 def reads_platform(view: MembershipView, now_unix_s: float) -> bool:
@@ -59,9 +59,9 @@
 
 
 def _speaks(view: MembershipView, watcher: Member, now_unix_s: float) -> bool:
-    is_direct = view.is_heard_directly(watcher.vm)
+    is_direct = view.is_directly_observed(watcher.vm)
     allowed_s = SILENT_WATCHER_S if is_direct else SILENT_WATCHER_TOLD_OF_S
-    return now_unix_s - view.heard_unix_s(watcher.vm) <= allowed_s
+    return now_unix_s - view.last_seen_unix_s(watcher.vm) <= allowed_s
 
 
 def relays(
--- a/src/pomelobarrow/decision/membership.py
+++ b/src/pomelobarrow/decision/membership.py
@@ -6,6 +6,7 @@
 
 from attrs import define, evolve, field, frozen
 
+from pomelobarrow.decision.heartbeat_timer import HeartbeatTimer
 from pomelobarrow.decision.live_set import LiveSet
 from pomelobarrow.decision.member import (
     LEFT,
@@ -15,8 +16,7 @@
     Phase,
     later_phase,
 )
-from pomelobarrow.decision.member_record import Judgement, MemberRecord
-from pomelobarrow.decision.silence import HeartbeatTimer
+from pomelobarrow.decision.member_record import LivenessStatus, MemberRecord
 
 FORGET_AFTER_S = 600.0
 SUCCESSOR_KEPT_S = 3_600.0
@@ -73,7 +73,7 @@
     def observe_own(self, member: Member) -> None:
         """State this daemon's own description."""
         self.own = member
-        self._live.expire()
+        self._live.invalidate()
 
     def observe_listed(self, vms: Iterable[ListedVm]) -> None:
         """Take the platform's list, whole."""
@@ -86,52 +86,52 @@
         """Take a heartbeat from the member itself; False for one that is out of date."""
         if member.vm == self.own_vm:
             return False
-        heard_unix_s = self._time(now_unix_s)
+        last_seen_unix_s = self._time(now_unix_s)
         record = self._records.get(member.vm)
         if record is None or member.incarnation > record.member.incarnation:
-            record = MemberRecord(member, HeartbeatTimer(), heard_unix_s)
+            record = MemberRecord(member, HeartbeatTimer(), last_seen_unix_s)
             self._records[member.vm] = record
         elif not record.is_newer(member):
             return False
         before = record.member
-        record.take_heartbeat(member, heard_unix_s)
+        record.take_heartbeat(member, last_seen_unix_s)
         self._live.note(record, before)
         self._note_successor(record.member, now_unix_s)
         return True
 
-    def observe_summary(self, member: Member, now_unix_s: float, told_by: str = "") -> bool:
+    def observe_summary(self, member: Member, now_unix_s: float, reported_by: str = "") -> bool:
         """Take what another daemon says of a member; it never goes before direct evidence."""
         if member.vm == self.own_vm:
             return False
-        heard_unix_s = min(member.heard_unix_s, self._time(now_unix_s))
+        last_seen_unix_s = min(member.last_seen_unix_s, self._time(now_unix_s))
         # Old news about a VM that was forgotten would bring it back, from daemon to daemon.
-        if now_unix_s - heard_unix_s > self.forget_after_s:
+        if now_unix_s - last_seen_unix_s > self.forget_after_s:
             return False
         self._note_successor(member, now_unix_s)
         record = self._records.get(member.vm)
         if record is None or member.incarnation > record.member.incarnation:
-            timer = HeartbeatTimer(heard_unix_s)
-            record = MemberRecord(member, timer, heard_unix_s, told_by=told_by)
+            timer = HeartbeatTimer(last_seen_unix_s)
+            record = MemberRecord(member, timer, last_seen_unix_s, reported_by=reported_by)
             self._records[member.vm] = record
-            self._live.expire()
+            self._live.invalidate()
             return True
         if member.incarnation < record.member.incarnation:
             return False
         before = record.member
         record.member = evolve(before, phase=later_phase(before, member))
-        if record.is_news(heard_unix_s, now_unix_s):
-            record.take_word(heard_unix_s, told_by)
+        if record.is_news(last_seen_unix_s, now_unix_s):
+            record.take_word(last_seen_unix_s, reported_by)
         self._live.note(record, before)
         return True
 
-    def observe_alive(
+    def observe_last_seen(
         self,
         vm: str,
         incarnation: int,
-        heard_unix_s: float,
+        last_seen_unix_s: float,
         now_unix_s: float,
         timeout_s: float | None = None,
-        told_by: str = "",
+        reported_by: str = "",
     ) -> bool:
         """Take word that a known member was heard; say whether that was news.
 
@@ -140,19 +140,19 @@
         record = self._records.get(vm)
         if record is None or record.member.incarnation != incarnation:
             return False
-        heard_unix_s = min(heard_unix_s, self._time(now_unix_s))
-        if not record.is_news(heard_unix_s, now_unix_s):
+        last_seen_unix_s = min(last_seen_unix_s, self._time(now_unix_s))
+        if not record.is_news(last_seen_unix_s, now_unix_s):
             return False
-        record.take_word(heard_unix_s, told_by, timeout_s)
+        record.take_word(last_seen_unix_s, reported_by, timeout_s)
         self._live.note(record, record.member)
         return True
 
-    def observe_unlinked(self, vm: str, now_unix_s: float) -> None:
+    def observe_link_closed(self, vm: str, now_unix_s: float) -> None:
         """Expect only others' words on a member: the last stream to it was closed by choice."""
         record = self._records.get(vm)
         if record is not None and record.is_live(self._time(now_unix_s)):
             record.await_words()
-            self._live.expire()
+            self._live.invalidate()
 
     def observe_leave(
         self, vm: str, incarnation: int, successor: str, now_unix_s: float | None = None
@@ -163,7 +163,7 @@
         record = self._records.get(vm)
         if record is not None and record.member.incarnation == incarnation:
             record.member = evolve(record.member, phase=LEFT, successor=successor)
-            self._live.expire()
+            self._live.invalidate()
 
     def observe_pause(self, now_unix_s: float, gap_s: float) -> None:
         """Distrust the view after this process stood still; restart every timer."""
@@ -172,11 +172,11 @@
         # member would look dead because we slept.
         for record in self._records.values():
             # After the clock was set back, words would look old until it has caught up.
-            record.heard_unix_s = min(record.heard_unix_s, now_unix_s)
+            record.last_seen_unix_s = min(record.last_seen_unix_s, now_unix_s)
             record.excuse(now_unix_s, gap_s)
             if not record.timer.is_overdue(now_unix_s - gap_s):
                 record.timer.restart(now_unix_s)
-        self._live.expire()
+        self._live.invalidate()
 
     def is_trusted(self, now_unix_s: float) -> bool:
         """Say whether, since the last pause, each member has spoken or had its time to."""
@@ -203,17 +203,17 @@
         """Return the members whose silence exceeds what their heartbeats led us to expect."""
         return self._looked_up(now_unix_s).suspects
 
-    def derived(self, key: str, derive: Callable[[], T], now_unix_s: float | None = None) -> T:
+    def memoized(self, key: str, derive: Callable[[], T], now_unix_s: float | None = None) -> T:
         """Return what follows from the live members and the listed VMs alone.
 
         It is derived anew only where these have changed.
         """
-        kept = self._looked_up(self._time(now_unix_s)).derived
+        kept = self._looked_up(self._time(now_unix_s)).memoized
         if key not in kept:
             kept[key] = derive()
         return cast(T, kept[key])
 
-    def changed_judgements(self, now_unix_s: float) -> list[Judgement]:
+    def liveness_changes(self, now_unix_s: float) -> list[LivenessStatus]:
         """Return how members are judged that were judged otherwise at the last call.
 
         One that wasn't known then is no change while it counts as silent: old words on VMs that are
@@ -288,12 +288,12 @@
         record = self._records.get(vm)
         return record.member if record else None
 
-    def heard_unix_s(self, vm: str) -> float:
+    def last_seen_unix_s(self, vm: str) -> float:
         """Return when a member was last heard, by this VM or by one that told of it; 0 if never."""
         record = self._records.get(vm)
-        return record.heard_unix_s if record else 0.0
+        return record.last_seen_unix_s if record else 0.0
 
-    def is_heard_directly(self, vm: str) -> bool:
+    def is_directly_observed(self, vm: str) -> bool:
         """Say whether a member speaks to this VM itself."""
         record = self._records.get(vm)
         return record is not None and record.direct
@@ -318,7 +318,7 @@
         for vm in gone:
             del self._records[vm]
         if gone:
-            self._live.expire()
+            self._live.invalidate()
         self._forget_handovers(now_unix_s)
         return tuple(gone)
 
--- a/src/pomelobarrow/decision/server_choice.py
+++ b/src/pomelobarrow/decision/server_choice.py
@@ -8,7 +8,7 @@
 from pomelobarrow.decision.configuration import Rank
 from pomelobarrow.decision.load_table import LoadTable, ServerState
 from pomelobarrow.decision.service_times import ServiceTimes
-from pomelobarrow.decision.stale_view import choose_index, filled, shrunk
+from pomelobarrow.decision.stale_load import choose_index, decayed_to_mean, with_unseen_work
 from pomelobarrow.decision.stream_pauses import Engine, PauseTarget, pause_cost_s
 from pomelobarrow.decision.work import BackendServer, Placement, Work
 
@@ -171,7 +171,7 @@
     pauses_s = _pause_costs_s(work, states, warm, times)
     costs_s = [wait + pause for wait, pause in zip(waits_s, pauses_s, strict=True)]
     emptiest = choose_index(costs_s, unseen_s, random)
-    expected_waits_s = filled(waits_s, unseen_s)
+    expected_waits_s = with_unseen_work(waits_s, unseen_s)
 
     def reading_s(place: int) -> float:
         uncached_tokens = max(0.0, work.prompt_tokens - warm.tokens(states[place]))
@@ -227,7 +227,7 @@
     """Return the seconds until each server turns to one more request."""
     mean_tokens = sum(s.own_tokens + s.others_tokens for s in states) / len(states)
     memory_s = mean_tokens * times.s_per_prefill_token
-    others_tokens = shrunk([float(s.others_tokens) for s in states], age_s, memory_s)
+    others_tokens = decayed_to_mean([float(s.others_tokens) for s in states], age_s, memory_s)
     slot_waits_s = _slot_waits_s(states, times)
     return [
         (state.own_tokens + others) * times.s_per_prefill_token + slot_wait_s
--- a/src/pomelobarrow/decision/stale_view.py
+++ b/src/pomelobarrow/decision/stale_load.py
@@ -8,7 +8,7 @@
 SEEN_LATE_SHARE = 0.5
 
 
-def shrunk(values: Sequence[float], age_s: float, memory_s: float) -> list[float]:
+def decayed_to_mean(values: Sequence[float], age_s: float, memory_s: float) -> list[float]:
     """Move old values towards their mean, as far as they have been worked off since."""
     mean = sum(values) / len(values)
     kept = math.exp(-age_s / max(memory_s, 1e-3))
@@ -31,7 +31,7 @@
     return random.choices(range(len(weights)), weights)[0]
 
 
-def filled(waits_s: Sequence[float], unseen_s: float) -> list[float]:
+def with_unseen_work(waits_s: Sequence[float], unseen_s: float) -> list[float]:
     """Return the waits with the unseen work that has come by now on average."""
     level_s = fill_level_s(waits_s, unseen_s)
     return [wait + max(0.0, level_s - wait) * SEEN_LATE_SHARE for wait in waits_s]
--- a/src/pomelobarrow/peers/exchange.py
+++ b/src/pomelobarrow/peers/exchange.py
@@ -96,7 +96,7 @@
 
     def _pull_if_behind(self, summary: KeyspaceSummary, reply: Reply) -> None:
         copy, now = self.published.copies[summary.name], now_unix_s()
-        after, in_force = copy.needs(summary), False
+        after, in_force = copy.sync_after_revision(summary), False
         if after is None and copy.lacks_in_force(summary):
             after, in_force = copy.revision, True
         if after is None or now < self._next_pull_unix_s.get(summary.name, 0.0):
@@ -166,7 +166,7 @@
         self.crash_news.take(told, peer_vm)
 
     def _on_closing(self, closing: pb.Closing, peer_vm: str, reply: Reply) -> None:
-        self.view.observe_unlinked(peer_vm, now_unix_s())
+        self.view.observe_link_closed(peer_vm, now_unix_s())
 
     def is_behind(self, reachable: Iterable[str]) -> bool:
         """Tell whether a reachable peer has said to hold a higher revision than this VM."""
--- a/src/pomelobarrow/peers/live_changes.py
+++ b/src/pomelobarrow/peers/live_changes.py
@@ -1,22 +1,22 @@
 """Tell when a member falls silent in this VM's view, or is heard again."""
 
-from pomelobarrow.decision.member_record import Judgement
+from pomelobarrow.decision.member_record import LivenessStatus
 from pomelobarrow.decision.membership import MembershipView
 from pomelobarrow.peers.events import MemberJudged
 
 
 def live_changes(view: MembershipView, now_unix_s: float) -> list[MemberJudged]:
     """Return the members that are judged otherwise than at the last call."""
-    return [_judged(each) for each in view.changed_judgements(now_unix_s)]
+    return [_judged(each) for each in view.liveness_changes(now_unix_s)]
 
 
-def _judged(judgement: Judgement) -> MemberJudged:
+def _judged(judgement: LivenessStatus) -> MemberJudged:
     return MemberJudged(
         member=judgement.member.vm,
         incarnation=judgement.member.incarnation,
         phase=judgement.member.phase,
         is_live=judgement.is_live,
-        told_by=judgement.told_by,
-        heard_age_s=round(judgement.heard_age_s, 3),
+        told_by=judgement.reported_by,
+        heard_age_s=round(judgement.last_seen_age_s, 3),
         allowed_silence_s=round(judgement.allowed_silence_s, 3),
     )
--- a/src/pomelobarrow/peers/member_news.py
+++ b/src/pomelobarrow/peers/member_news.py
@@ -41,7 +41,7 @@
     # The descriptions that the peer has told of and this VM lacks, and those it was asked for.
     awaited_keys: dict[int, None] = field(factory=dict)
     asked_keys: set[int] = field(factory=set)
-    heard_unix_s: dict[str, float] = field(factory=dict)
+    last_seen_unix_s: dict[str, float] = field(factory=dict)
 
 
 @define
@@ -81,10 +81,10 @@
         self._refresh(now_unix_s)
         self._write_description_keys(heartbeat, sent)
         for member, every_s in self._told_to(kind, neighbours):
-            heard_unix_s = self.view.heard_unix_s(member.vm)
-            newer_s = heard_unix_s - sent.heard_unix_s.get(member.vm, 0.0)
+            last_seen_unix_s = self.view.last_seen_unix_s(member.vm)
+            newer_s = last_seen_unix_s - sent.last_seen_unix_s.get(member.vm, 0.0)
             if newer_s >= every_s and member.vm != peer:
-                self._write_heard(heartbeat, sent, member.vm, heard_unix_s, now_unix_s)
+                self._write_heard(heartbeat, sent, member.vm, last_seen_unix_s, now_unix_s)
             if len(heartbeat.heard_keys) >= HEARD_PER_HEARTBEAT:
                 return
 
@@ -103,13 +103,15 @@
         self.take_descriptions(heartbeat.members, heartbeat.vm, kind, now_unix_s, behind_s)
         for key, age in zip(heartbeat.heard_keys, heartbeat.heard_ages, strict=False):
             if key in self._by_key:
-                heard_unix_s = sent_unix_s - age * AGE_UNIT_S
-                self._take_heard(key, heard_unix_s, sent, kind, is_sparse, now_unix_s, heartbeat.vm)
+                last_seen_unix_s = sent_unix_s - age * AGE_UNIT_S
+                self._take_heard(
+                    key, last_seen_unix_s, sent, kind, is_sparse, now_unix_s, heartbeat.vm
+                )
 
     def take_descriptions(
         self,
         summaries: Iterable[pb.MemberSummary],
-        told_by: str,
+        reported_by: str,
         kind: LinkKind,
         now_unix_s: float,
         clock_ahead_s: float,
@@ -120,8 +122,8 @@
             is_news = True
             member = _summarized(summary, summary.heard_unix_s - clock_ahead_s)
             # Whoever already hears of a member more freshly goes on passing that on.
-            is_fresher = self.view.heard_unix_s(member.vm) < member.heard_unix_s
-            self.view.observe_summary(member, now_unix_s, told_by)
+            is_fresher = self.view.last_seen_unix_s(member.vm) < member.last_seen_unix_s
+            self.view.observe_summary(member, now_unix_s, reported_by)
             if is_fresher:
                 self._came[member.vm] = kind
         self._refresh(now_unix_s, at_once=is_news)
@@ -154,7 +156,7 @@
         """Return the descriptions of members that a peer asks for by key, as they are now."""
         vms = dict.fromkeys(vm for key in keys if (vm := self._vm_by_description.get(key)))
         members = (self.view.get(vm) for vm in vms)
-        return [_summary(each, self.view.heard_unix_s(each.vm)) for each in members if each]
+        return [_summary(each, self.view.last_seen_unix_s(each.vm)) for each in members if each]
 
     def heard_directly(self, vm: str, kind: LinkKind) -> None:
         """Note that a member spoke itself."""
@@ -173,19 +175,21 @@
     def _take_heard(
         self,
         key: int,
-        heard_unix_s: float,
+        last_seen_unix_s: float,
         sent: SentMembers,
         kind: LinkKind,
         is_sparse: bool,
         now_unix_s: float,
-        told_by: str,
+        reported_by: str,
     ) -> None:
         vm, incarnation = self._by_key[key]
-        sent.heard_unix_s[vm] = max(sent.heard_unix_s.get(vm, 0.0), heard_unix_s)
+        sent.last_seen_unix_s[vm] = max(sent.last_seen_unix_s.get(vm, 0.0), last_seen_unix_s)
         member = self.view.get(vm)
         is_near = is_sparse and member is not None and member.region == self.view.own_region
         timeout_s = NEAR_WORD_TIMEOUT_S if is_near else None
-        if self.view.observe_alive(vm, incarnation, heard_unix_s, now_unix_s, timeout_s, told_by):
+        if self.view.observe_last_seen(
+            vm, incarnation, last_seen_unix_s, now_unix_s, timeout_s, reported_by
+        ):
             self._came[vm] = kind
 
     def _refresh(self, now_unix_s: float, at_once: bool = False) -> None:
@@ -252,19 +256,19 @@
         heartbeat: pb.Heartbeat,
         sent: SentMembers,
         vm: str,
-        heard_unix_s: float,
+        last_seen_unix_s: float,
         now_unix_s: float,
     ) -> None:
-        age_s = now_unix_s - heard_unix_s
+        age_s = now_unix_s - last_seen_unix_s
         key = self._key_of.get(vm)
         if key is None or not 0 <= age_s <= MAX_AGE_S:
             return
-        sent.heard_unix_s[vm] = heard_unix_s
+        sent.last_seen_unix_s[vm] = last_seen_unix_s
         heartbeat.heard_keys.append(key)
         heartbeat.heard_ages.append(round(age_s / AGE_UNIT_S))
 
 
-def _summarized(each: pb.MemberSummary, heard_unix_s: float) -> Member:
+def _summarized(each: pb.MemberSummary, last_seen_unix_s: float) -> Member:
     return Member(
         vm=each.vm,
         incarnation=each.incarnation,
@@ -273,12 +277,12 @@
         caller_address=each.caller_address,
         peer_address=each.peer_address,
         phase=each.phase,
-        heard_unix_s=heard_unix_s,
+        last_seen_unix_s=last_seen_unix_s,
         successor=each.successor,
     )
 
 
-def _summary(member: Member, heard_unix_s: float) -> pb.MemberSummary:
+def _summary(member: Member, last_seen_unix_s: float) -> pb.MemberSummary:
     return pb.MemberSummary(
         vm=member.vm,
         incarnation=member.incarnation,
@@ -287,6 +291,6 @@
         caller_address=member.caller_address,
         peer_address=member.peer_address,
         phase=member.phase,
-        heard_unix_s=heard_unix_s,
+        heard_unix_s=last_seen_unix_s,
         successor=member.successor,
     )
--- a/src/pomelobarrow/peers/table.py
+++ b/src/pomelobarrow/peers/table.py
@@ -243,7 +243,7 @@
     def _wanted(self, now: float) -> dict[str, ListedVm]:
         turn = int(now / CONTACT_TURN_S)
         wanted_by_turn: dict[int, dict[str, ListedVm]]
-        wanted_by_turn = self._view.derived("wanted peers", dict, now)
+        wanted_by_turn = self._view.memoized("wanted peers", dict, now)
         if turn not in wanted_by_turn:
             wanted_by_turn.clear()
             wanted_by_turn[turn] = self._choose_wanted(now)
@@ -308,7 +308,7 @@
         await self.remove_dependency(link)
         await link.stop()
         if is_up and link.peer.vm not in self._streams_up():
-            self._view.observe_unlinked(link.peer.vm, now_unix_s())
+            self._view.observe_link_closed(link.peer.vm, now_unix_s())
 
     def _on_applied(self, name: str, source: str) -> None:
         if name == VMS:
--- a/src/pomelobarrow/relay/directory_log.py
+++ b/src/pomelobarrow/relay/directory_log.py
@@ -49,4 +49,4 @@
 
     def _heard_age_s(self, member: Member, now_unix_s: float) -> float:
         is_own = member.vm == self.view.own_vm
-        return 0.0 if is_own else round(now_unix_s - self.view.heard_unix_s(member.vm), 3)
+        return 0.0 if is_own else round(now_unix_s - self.view.last_seen_unix_s(member.vm), 3)
--- a/src/pomelobarrow/relay/relay.py
+++ b/src/pomelobarrow/relay/relay.py
@@ -233,9 +233,9 @@
             course, target, on_head=lambda head: self._note_told(course.request, head)
         )
         if report.end is AttemptEnd.NOT_SENT:
-            self.placer.members.note_unreached(decision.member.vm, now_unix_s())
+            self.placer.members.note_connect_failure(decision.member.vm, now_unix_s())
         elif report.end is not AttemptEnd.LOST:
-            self.placer.members.reach.note_reached(decision.member.vm)
+            self.placer.members.connect_backoff.note_connected(decision.member.vm)
         if report.end is not AttemptEnd.PASSED_ON:
             course.excluded.peers.add(decision.member.vm)
         if report.end in (AttemptEnd.REFUSED, AttemptEnd.TURNED_BACK):
--- a/tests/test_callers_entries.py
+++ b/tests/test_callers_entries.py
@@ -49,7 +49,7 @@
     # another region is only heard of every few seconds, and goes on being named.
     held, now = directory(Phase.READY), now_unix_s()
     for vm, region in (("milan-2", REGION), ("turin-1", "turin")):
-        told = Member(vm=vm, incarnation=1, region=region, heard_unix_s=now - 7.0)
+        told = Member(vm=vm, incarnation=1, region=region, last_seen_unix_s=now - 7.0)
         held.view.observe_summary(told, now)
     answer = held.answer(ACCOUNT, REGION, {})
     assert isinstance(answer, Ok)
--- a/tests/test_keyspace.py
+++ b/tests/test_keyspace.py
@@ -78,7 +78,7 @@
 
     @rule(index=copies, peer=copies, at_once=st.booleans())
     def ask_peer(self, index, peer, at_once):
-        after = self.copies[index].needs(self.copies[peer].summary)
+        after = self.copies[index].sync_after_revision(self.copies[peer].summary)
         if after is not None:
             delta = self.copies[peer].changes_after(after)
             message = (index, delta.changes, delta.head_revision, delta.after_revision, True)
@@ -156,7 +156,7 @@
         copy.apply(history, 6, after_revision=1)
     for index in list(order) * 2:
         for peer in group:
-            if group[index].needs(peer.summary) == 0:
+            if group[index].sync_after_revision(peer.summary) == 0:
                 group[index].apply(peer.changes_after(0).changes, 6, after_revision=0)
     newest = sorted(sum(all_histories, []), key=lambda each: (each.revision, fingerprint(each)))
     expected = {each.key: each.value for each in newest}
@@ -216,7 +216,7 @@
 def test_one_revision_with_two_contents_is_counted_and_settled_the_same_way(copy):
     other = KeyspaceCopy("config")
     other.apply([Change(3, "a", 1), Change(4, "b", 99)], 4, after_revision=0)
-    assert copy.needs(other.summary) == other.needs(copy.summary) == 0
+    assert copy.sync_after_revision(other.summary) == other.sync_after_revision(copy.summary) == 0
     copy.apply(other.changes_after(0).changes, 4, after_revision=0)
     other.apply(copy.changes_after(0).changes, 4, after_revision=0)
     assert copy.values == other.values
--- a/tests/test_live_set.py
+++ b/tests/test_live_set.py
@@ -14,14 +14,16 @@
 REGION_BY_VM = {"milan-1": "milan", "milan-2": "milan", "turin-1": "turin"}
 
 
-def member(vm: str, sequence: int = 0, heard_unix_s: float = 0.0, phase: str = "ready") -> Member:
+def member(
+    vm: str, sequence: int = 0, last_seen_unix_s: float = 0.0, phase: str = "ready"
+) -> Member:
     return Member(
         vm=vm,
         incarnation=1,
         region=REGION_BY_VM[vm],
         phase=phase,
         sequence=sequence,
-        heard_unix_s=heard_unix_s,
+        last_seen_unix_s=last_seen_unix_s,
     )
 
 
@@ -37,7 +39,7 @@
     "leaving": lambda view, vm, n, now: view.observe_heartbeat(
         member(vm, n, phase=Phase.LEAVING.value), now
     ),
-    "word": lambda view, vm, n, now: view.observe_alive(vm, 1, now - 0.5, now, 5.0, "milan-9"),
+    "word": lambda view, vm, n, now: view.observe_last_seen(vm, 1, now - 0.5, now, 5.0, "milan-9"),
     "summary": lambda view, vm, n, now: view.observe_summary(member(vm, 0, now - 1.0), now),
     "leave": lambda view, vm, n, now: view.observe_leave(vm, 1, "", now),
     "pause": lambda view, vm, n, now: view.observe_pause(now, 4.0),
@@ -80,9 +82,9 @@
 def test_what_follows_from_the_members_is_derived_once_while_they_last(
     view: MembershipView,
 ) -> None:
-    derived = [view.derived("names", list, START_UNIX_S + n) for n in range(5)]
+    memoized = [view.memoized("names", list, START_UNIX_S + n) for n in range(5)]
 
-    assert all(each is derived[0] for each in derived)
+    assert all(each is memoized[0] for each in memoized)
 
 
 @pytest.mark.parametrize(
@@ -97,7 +99,7 @@
 def test_what_follows_from_the_members_is_derived_anew(
     view: MembershipView, change: Callable[[MembershipView], None]
 ) -> None:
-    before = view.derived("names", list, START_UNIX_S)
+    before = view.memoized("names", list, START_UNIX_S)
     change(view)
 
-    assert view.derived("names", list, START_UNIX_S) is not before
+    assert view.memoized("names", list, START_UNIX_S) is not before
--- a/tests/test_long_silent_vm.py
+++ b/tests/test_long_silent_vm.py
@@ -19,7 +19,7 @@
 POWER_LOST_UNIX_S = 1_000.0
 
 
-def ready(vm: str, sequence: int = 1, heard_unix_s: float = 0.0) -> Member:
+def ready(vm: str, sequence: int = 1, last_seen_unix_s: float = 0.0) -> Member:
     return Member(
         vm=vm,
         incarnation=1,
@@ -27,7 +27,7 @@
         failure_domain=DOMAIN,
         caller_address=f"{vm}:1",
         sequence=sequence,
-        heard_unix_s=heard_unix_s,
+        last_seen_unix_s=last_seen_unix_s,
     )
 
 
@@ -37,8 +37,8 @@
     view.observe_own(evolve(ready("vm-2"), phase=Phase.READY.value))
     last_unix_s = POWER_LOST_UNIX_S - 0.7
     for number in range(count - 1):
-        heard_unix_s = last_unix_s - gap_before_last_s - (count - 2 - number)
-        view.observe_heartbeat(ready(LOST, sequence=number + 1), heard_unix_s)
+        last_seen_unix_s = last_unix_s - gap_before_last_s - (count - 2 - number)
+        view.observe_heartbeat(ready(LOST, sequence=number + 1), last_seen_unix_s)
     view.observe_heartbeat(ready(LOST, sequence=count), last_unix_s)
     return view
 
@@ -68,10 +68,10 @@
     view = view_after_heartbeats(20)
     silent_unix_s = POWER_LOST_UNIX_S + 3.2
     assert named(view, silent_unix_s) == ["vm-2"]
-    last_heard = ready(LOST, heard_unix_s=POWER_LOST_UNIX_S - 0.2)
+    last_heard = ready(LOST, last_seen_unix_s=POWER_LOST_UNIX_S - 0.2)
 
     view.observe_summary(last_heard, silent_unix_s + 0.5)
-    view.observe_alive(LOST, 1, POWER_LOST_UNIX_S - 0.1, silent_unix_s + 0.6)
+    view.observe_last_seen(LOST, 1, POWER_LOST_UNIX_S - 0.1, silent_unix_s + 0.6)
 
     assert LOST in view.suspects(silent_unix_s + 1.0)
     assert named(view, silent_unix_s + 1.0) == ["vm-2"]
--- a/tests/test_member_news.py
+++ b/tests/test_member_news.py
@@ -57,16 +57,16 @@
 def test_word_on_an_unknown_vm_keeps_its_age_whatever_the_peers_clock() -> None:
     view = MembershipView("vm-a", "milan")
     take(view, heartbeat_by_clock_ahead(20.0))
-    [judgement] = view.changed_judgements(NOW_UNIX_S)
-    assert judgement.heard_age_s == HEARD_AGO_S
+    [judgement] = view.liveness_changes(NOW_UNIX_S)
+    assert judgement.last_seen_age_s == HEARD_AGO_S
 
 
 def test_word_of_a_peer_whose_clock_is_behind_counts_as_older_at_most() -> None:
     # It may have waited on its way; taken for older than it is, the member is only tried later.
     view = MembershipView("vm-a", "milan")
     take(view, heartbeat_by_clock_ahead(-2.0))
-    [judgement] = view.changed_judgements(NOW_UNIX_S)
-    assert judgement.heard_age_s == HEARD_AGO_S + 2.0
+    [judgement] = view.liveness_changes(NOW_UNIX_S)
+    assert judgement.last_seen_age_s == HEARD_AGO_S + 2.0
 
 
 class Peer:
@@ -77,7 +77,9 @@
         self.news, self.sent = MemberNews(self.view), SentMembers()
         self.streams: dict[str, SentMembers] = {}
         for number in range(members):
-            told = Member(vm=f"vm-{number:03d}", incarnation=1, region="milan", heard_unix_s=999.0)
+            told = Member(
+                vm=f"vm-{number:03d}", incarnation=1, region="milan", last_seen_unix_s=999.0
+            )
             self.view.observe_summary(told, NOW_UNIX_S)
 
     def heartbeat(self) -> pb.Heartbeat:
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -7,11 +7,16 @@
 import pytest
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
+from pomelobarrow.decision.heartbeat_timer import (
+    CEILING_S,
+    FLOOR_S,
+    UNKNOWN_INTERVAL_TIMEOUT_S,
+    HeartbeatTimer,
+)
 from pomelobarrow.decision.member import ListedVm, Member, Phase
 from pomelobarrow.decision.member_roles import relays, watchers
 from pomelobarrow.decision.membership import MembershipView
 from pomelobarrow.decision.rendezvous import rendezvous
-from pomelobarrow.decision.silence import CEILING_S, FLOOR_S, UNKNOWN_PACE_S, HeartbeatTimer
 
 VMS = ("vm-b", "vm-c")
 vms = st.sampled_from(VMS)
@@ -57,11 +62,11 @@
 
     @rule(vm=vms, phase=st.sampled_from(PHASES), age_s=st.sampled_from([0.0, 20.0, 700.0]))
     def rumour(self, vm, phase, age_s):
-        heard_unix_s = self.now_unix_s - age_s
-        said = member(vm, self.incarnation[vm], 0, phase, heard_unix_s=heard_unix_s)
+        last_seen_unix_s = self.now_unix_s - age_s
+        said = member(vm, self.incarnation[vm], 0, phase, last_seen_unix_s=last_seen_unix_s)
         if self.view.observe_summary(said, self.now_unix_s):
             assert age_s < self.view.forget_after_s
-            self.heard[vm] = max(self.heard.get(vm, 0.0), heard_unix_s)
+            self.heard[vm] = max(self.heard.get(vm, 0.0), last_seen_unix_s)
 
     @rule(vm=vms)
     def late_messages_change_nothing(self, vm):
@@ -71,7 +76,7 @@
             again = member(vm, before.incarnation, before.sequence)
             assert not self.view.observe_heartbeat(again, self.now_unix_s)
         if before is not None and before.incarnation > incarnation:
-            old = member(vm, incarnation, 999, "ready", heard_unix_s=self.now_unix_s)
+            old = member(vm, incarnation, 999, "ready", last_seen_unix_s=self.now_unix_s)
             assert not self.view.observe_heartbeat(old, self.now_unix_s)
             assert not self.view.observe_summary(old, self.now_unix_s)
             assert self.view.get(vm) == before
@@ -136,8 +141,8 @@
     view.observe_heartbeat(member("vm-b", sequence=2), 161.0)
     assert not view.is_trusted(161.0)
     # Each has spoken once, so that its pace isn't known.
-    assert view.is_trusted(160.0 + UNKNOWN_PACE_S + 0.1)
-    assert live_names(view, 160.0 + UNKNOWN_PACE_S + 0.1) == {"vm-b"}
+    assert view.is_trusted(160.0 + UNKNOWN_INTERVAL_TIMEOUT_S + 0.1)
+    assert live_names(view, 160.0 + UNKNOWN_INTERVAL_TIMEOUT_S + 0.1) == {"vm-b"}
 
 
 def test_a_member_dead_before_our_pause_stays_dead():
@@ -148,9 +153,9 @@
 
 def test_rumours_count_again_after_the_clock_was_set_back():
     view = view_of()
-    view.observe_summary(member(heard_unix_s=5_000.0), 5_000.0)
+    view.observe_summary(member(last_seen_unix_s=5_000.0), 5_000.0)
     view.observe_pause(1_000.0, 4_000.0)
-    view.observe_summary(member(heard_unix_s=1_020.0), 1_020.0)
+    view.observe_summary(member(last_seen_unix_s=1_020.0), 1_020.0)
     assert live_names(view, 1_021.0) == {"vm-b"}
 
 
@@ -230,7 +235,7 @@
     view = view_of()
     for second in range(10):
         view.observe_heartbeat(member(sequence=second + 1), 100.0 + second)
-    view.observe_summary(member(heard_unix_s=110.0), 110.0)
+    view.observe_summary(member(last_seen_unix_s=110.0), 110.0)
     assert view.suspects(115.0) == {"vm-b"}
 
 
@@ -266,7 +271,7 @@
     heard = Member(vm="vm-b", incarnation=1, region="milan", phase="starting", sequence=1)
     assert view.observe_heartbeat(heard, 1_000.0)
     rumour = Member(
-        vm="vm-b", incarnation=1, region="milan", phase="starting", heard_unix_s=1_000.0
+        vm="vm-b", incarnation=1, region="milan", phase="starting", last_seen_unix_s=1_000.0
     )
     view.observe_summary(rumour, 1_020.0)
     assert not view.observe_heartbeat(heard, 1_020.0)
@@ -283,8 +288,8 @@
         for number in range(1, heard):
             view.observe_heartbeat(member("vm-b", sequence=1 + number), 100.0 + number)
         last_unix_s = 100.0 + heard - 1
-        assert view.suspects(last_unix_s + UNKNOWN_PACE_S) == set()
-        assert view.suspects(last_unix_s + UNKNOWN_PACE_S + 0.1) == {"vm-b"}
+        assert view.suspects(last_unix_s + UNKNOWN_INTERVAL_TIMEOUT_S) == set()
+        assert view.suspects(last_unix_s + UNKNOWN_INTERVAL_TIMEOUT_S + 0.1) == {"vm-b"}
 
 
 def test_a_member_whose_stream_was_closed_is_not_taken_for_silent() -> None:
@@ -296,7 +301,7 @@
     view = view_of()
     for second in range(10):
         view.observe_heartbeat(member(sequence=second + 1), 100.0 + second)
-    view.observe_unlinked("vm-b", 109.0)
+    view.observe_link_closed("vm-b", 109.0)
 
     assert view.suspects(109.0 + CEILING_S) == set()
     assert view.suspects(109.0 + CEILING_S + 0.1) == {"vm-b"}
@@ -305,25 +310,25 @@
 def test_words_on_a_member_whose_stream_was_closed_count_at_once() -> None:
     view = view_of()
     view.observe_heartbeat(member(sequence=1), 100.0)
-    view.observe_unlinked("vm-b", 100.5)
+    view.observe_link_closed("vm-b", 100.5)
 
-    assert view.observe_alive("vm-b", 1, 101.0, 104.0, told_by="vm-c")
-    assert view.heard_unix_s("vm-b") == 101.0
+    assert view.observe_last_seen("vm-b", 1, 101.0, 104.0, reported_by="vm-c")
+    assert view.last_seen_unix_s("vm-b") == 101.0
 
 
 def test_a_member_that_speaks_again_is_judged_by_its_pace_again() -> None:
     view = view_of()
     view.observe_heartbeat(member(sequence=1), 100.0)
-    view.observe_unlinked("vm-b", 100.5)
+    view.observe_link_closed("vm-b", 100.5)
     view.observe_heartbeat(member(sequence=2), 101.0)
 
-    assert view.suspects(101.0 + UNKNOWN_PACE_S + 0.1) == {"vm-b"}
+    assert view.suspects(101.0 + UNKNOWN_INTERVAL_TIMEOUT_S + 0.1) == {"vm-b"}
 
 
 def test_closing_a_stream_brings_no_silent_member_back() -> None:
     view = view_of()
     view.observe_heartbeat(member(sequence=1), 100.0)
     assert view.suspects(106.0) == {"vm-b"}
-    view.observe_unlinked("vm-b", 106.0)
+    view.observe_link_closed("vm-b", 106.0)
 
     assert view.suspects(106.0) == {"vm-b"}
--- a/tests/test_peer_table.py
+++ b/tests/test_peer_table.py
@@ -7,9 +7,9 @@
 import pytest
 from mode import Service
 
+from pomelobarrow.decision.heartbeat_timer import UNKNOWN_INTERVAL_TIMEOUT_S
 from pomelobarrow.decision.member import ListedVm, Member, Phase
 from pomelobarrow.decision.membership import MembershipView
-from pomelobarrow.decision.silence import UNKNOWN_PACE_S
 from pomelobarrow.kernel import clock
 from pomelobarrow.peers import table as module
 from pomelobarrow.peers.heartbeats import Heartbeats
@@ -77,7 +77,7 @@
     def forget_peers(self) -> None:
         """Let the table know nobody."""
         self._view._records.clear()
-        self._view._live.expire()
+        self._view._live.invalidate()
 
     async def dialed_after(self, passed_s: float = 0.0) -> set[str]:
         """Return the peers with a dialed link after some time and a review."""
@@ -217,8 +217,10 @@
     monkeypatch.setattr(fixture.table, "_wanted", lambda now: {})
 
     assert "turin-1" not in await fixture.dialed_after()
-    assert not fixture.view.is_heard_directly("turin-1")
-    assert "turin-1" not in fixture.view.suspects(fixture.now_unix_s + UNKNOWN_PACE_S + 0.1)
+    assert not fixture.view.is_directly_observed("turin-1")
+    assert "turin-1" not in fixture.view.suspects(
+        fixture.now_unix_s + UNKNOWN_INTERVAL_TIMEOUT_S + 0.1
+    )
 
 
 async def test_a_peer_with_another_stream_is_judged_by_that_one(
@@ -229,7 +231,7 @@
     fixture.accepted.add(stream_of("milan-1"))
 
     assert "milan-1" not in await fixture.dialed_after()
-    assert fixture.view.is_heard_directly("milan-1")
+    assert fixture.view.is_directly_observed("milan-1")
 
 
 async def test_a_peer_hears_that_a_stream_is_closed_by_choice() -> None:
--- a/tests/test_relay_directory.py
+++ b/tests/test_relay_directory.py
@@ -97,7 +97,7 @@
     # this region instead, the request would leave its homes with its body and be refused.
     held = directory({"c": Phase.READY}, BOUND)
     now = now_unix_s()
-    told = Member(vm="vm-b", incarnation=1, region="b", heard_unix_s=now - 7.0)
+    told = Member(vm="vm-b", incarnation=1, region="b", last_seen_unix_s=now - 7.0)
     held.view.observe_summary(told, now)
     assert named(held, "a") == ["vm-b"]
     assert named(held, "c") == ["vm-c"]
--- a/tests/test_relay_placement.py
+++ b/tests/test_relay_placement.py
@@ -6,11 +6,11 @@
 
 from pomelobarrow.decision.cold_start import ColdLimiter
 from pomelobarrow.decision.configuration import Rank
+from pomelobarrow.decision.connect_backoff import FIRST_BACKOFF_S
 from pomelobarrow.decision.live_members import LiveMembers
 from pomelobarrow.decision.load_table import LoadTable
 from pomelobarrow.decision.member import Member
 from pomelobarrow.decision.membership import MembershipView
-from pomelobarrow.decision.peer_reach import FIRST_PAUSE_S
 from pomelobarrow.decision.placement import Placer
 from pomelobarrow.decision.placement_request import (
     ALL_BEHIND,
@@ -306,12 +306,14 @@
     """
     bound = route(RouteKind.IDEMPOTENT, home_regions=("b", "c"))
     by = placer(waits_s={"b": 0.0, "c": 0.0})
-    by.members.note_unreached("vm-b", NOW)
+    by.members.note_connect_failure("vm-b", NOW)
     targets = {place(by, request(bound)).member.vm for _ in range(20)}  # type: ignore[union-attr]
     assert targets == {"vm-c"}
-    by.members.note_unreached("vm-c", NOW)
+    by.members.note_connect_failure("vm-c", NOW)
     assert place(by, request(bound)) == Nowhere(reason=NOTHING_HERE)
-    later = by.place(request(bound).for_placement, ROUTING, Excluded(), NOW + FIRST_PAUSE_S + 0.01)
+    later = by.place(
+        request(bound).for_placement, ROUTING, Excluded(), NOW + FIRST_BACKOFF_S + 0.01
+    )
     assert isinstance(later, OnPeer)
 
 
--- a/tests/test_server_choice.py
+++ b/tests/test_server_choice.py
@@ -9,7 +9,7 @@
 from pomelobarrow.decision.load_table import LoadTable
 from pomelobarrow.decision.next_placement import next_placement
 from pomelobarrow.decision.server_choice import choose_server, has_room, state_reader
-from pomelobarrow.decision.stale_view import choose_index, fill_level_s
+from pomelobarrow.decision.stale_load import choose_index, fill_level_s
 from pomelobarrow.decision.work import Placement, Work
 from pomelobarrow.decision.work_queue import WorkQueue
 
