--- a/src/pomelobarrow/dispatch/named_limits.py
+++ b/src/pomelobarrow/dispatch/advertised_limits.py
@@ -8,7 +8,7 @@
 from pomelobarrow.kernel.clock import now_unix_s
 
 
-def note_named_limit(
+def record_advertised_limit(
     table: LoadTable,
     server: BackendServer,
     per_s: float | None,
@@ -17,5 +17,7 @@
 ) -> None:
     """Take in a server's limit, None where its answer names none, and report a change."""
     # The incarnation that it was sent to may be gone.
-    if table.is_current(server) and table.limits.observe(server.incarnation, per_s, now_unix_s()):
+    if table.is_current_incarnation(server) and table.limits.observe(
+        server.incarnation, per_s, now_unix_s()
+    ):
         observe(ServerLimitNamed(server=server.name, limit_per_s=per_s, header=header))
--- a/tests/test_dispatch_verdicts.py
+++ b/tests/test_dispatch_verdicts.py
@@ -11,17 +11,17 @@
 
 from pomelobarrow.callers.sinks import HttpSink
 from pomelobarrow.decision.attempt import UNRUN_STATES, Attempt, AttemptState
-from pomelobarrow.decision.errors import Kind, Refusal, Run
+from pomelobarrow.decision.errors import ErrorKind, Refusal, RunStatus
 from pomelobarrow.decision.load_table import LoadTable
 from pomelobarrow.decision.region_choice import RegionLoad, ShareOutsideHome
 from pomelobarrow.decision.work import Work
 from pomelobarrow.dispatch import dispatcher as module
 from pomelobarrow.dispatch.answers import AnswerHead, AnswerSink, AttemptResult
-from pomelobarrow.dispatch.background import wait_briefly
+from pomelobarrow.dispatch.background import wait_or_detach
 from pomelobarrow.dispatch.dispatcher import Dispatcher
 from pomelobarrow.dispatch.refusals import RefusedError, refuse
 
-NO_ROOM = refuse(Kind.OVERLOADED, Run.NO, "the queue is full")
+NO_ROOM = refuse(ErrorKind.OVERLOADED, RunStatus.NO, "the queue is full")
 # A peer's own word; its refusal says what its state says.
 PEER_REFUSALS = {AttemptState.REFUSED_UNRUN: NO_ROOM}
 STATES = st.sampled_from(
@@ -42,7 +42,7 @@
 
     broken_off: int = 0
 
-    async def broken(self, refusal: Refusal) -> None:
+    async def abort(self, refusal: Refusal) -> None:
         self.broken_off += 1
 
 
@@ -113,7 +113,7 @@
     if not repeatable:
         assert len(may_have_run) <= 1
         assert not may_have_run or states[-1] is may_have_run[0]
-    if refusal is not None and refusal.run is Run.NO:
+    if refusal is not None and refusal.run is RunStatus.NO:
         assert may_have_run == []
     assert sink.broken_off <= 1
 
@@ -126,10 +126,10 @@
         ended.set()
         return "word"
 
-    assert await wait_briefly(work(), 0.0, "none yet") == "none yet"
+    assert await wait_or_detach(work(), 0.0, "none yet") == "none yet"
     may_end.set()
     await ended.wait()
-    assert await wait_briefly(work(), 60.0, "none yet") == "word"
+    assert await wait_or_detach(work(), 60.0, "none yet") == "word"
 
 
 async def test_headers_that_come_twice_are_passed_on_twice() -> None:
