--- a/src/pomelobarrow/dispatch/local.py
+++ b/src/pomelobarrow/dispatch/local.py
@@ -11,12 +11,12 @@
 from pomelobarrow.decision.admission import refuse_unservable
 from pomelobarrow.decision.attempt import Attempt, AttemptState
 from pomelobarrow.decision.configuration import Rank
-from pomelobarrow.decision.costs import OutputEstimate, prefill_tokens
-from pomelobarrow.decision.errors import Kind, Run
+from pomelobarrow.decision.errors import ErrorKind, RunStatus
 from pomelobarrow.decision.load_table import LoadTable
 from pomelobarrow.decision.next_placement import ServerChooser, next_placement
 from pomelobarrow.decision.retries import MAX_RETRY_AFTER_S
 from pomelobarrow.decision.server_choice import choose_server
+from pomelobarrow.decision.token_estimates import OutputEstimate, prefill_tokens
 from pomelobarrow.decision.work import Placement, Work
 from pomelobarrow.decision.work_queue import WorkQueue
 from pomelobarrow.dispatch.answers import AnswerSink, AttemptResult
@@ -54,7 +54,7 @@
     observe: Callable[[object], None]
     guard: CrashGuard = field(factory=CrashGuard)
     choose: ServerChooser = choose_server
-    outputs: OutputEstimate = field(factory=OutputEstimate)
+    output_estimate: OutputEstimate = field(factory=OutputEstimate)
     rng: Random = field(factory=Random)
     queues: dict[str, WorkQueue] = field(factory=dict)
     _waiters: dict[str, Waiter] = field(factory=dict)
@@ -89,11 +89,11 @@
             )
         finally:
             self.table.release(wanted.request_id, now_unix_s())
-            self.pump(work.pool)
+            self.place_waiting(work.pool)
         self._judge_server(result)
         await self._note_whether_ended(request, placement, result)
         if result.is_finished and result.output_tokens:
-            self.outputs.observe(work.class_name, result.output_tokens)
+            self.output_estimate.observe(work.class_name, result.output_tokens)
         self.observe(
             AttemptEnded(
                 work.request_id, work.class_name, server.name, result.state.value, result.detail
@@ -133,7 +133,7 @@
         work = request.work
         if self.guard.refuses_after_wait(request.fingerprint):
             raise RefusedError(
-                self.guard.refusal(work.request_id, work.pool, request.fingerprint, Run.NO)
+                self.guard.refusal(work.request_id, work.pool, request.fingerprint, RunStatus.NO)
             )
 
     def expected_wait_s(self, work: Work) -> float:
@@ -148,7 +148,7 @@
             # Mostly nothing waits, and adding up the servers costs more than all the rest here.
             return 0.0
         drain_per_s = max(self.table.drain_per_s(work.pool, now), MIN_DRAIN_PER_S)
-        return ahead * max(1.0 / drain_per_s, queue.s_per_ahead(work.rank, now))
+        return ahead * max(1.0 / drain_per_s, queue.wait_per_request_ahead_s(work.rank, now))
 
     def _check_room(self, work: Work) -> None:
         refusal = refuse_unservable(
@@ -162,7 +162,7 @@
         if refusal is not None:
             raise RefusedError(refusal)
 
-    def pump(self, pool: str) -> None:
+    def place_waiting(self, pool: str) -> None:
         """Place as much waiting work as has room now."""
         queue = self.queue(pool)
         now = now_unix_s()
@@ -182,7 +182,7 @@
             for work in queue.expired(now, self._least_service_s):
                 self._refuse_expired(work)
             if self._waiters:
-                self.pump(pool)
+                self.place_waiting(pool)
 
     def _least_service_s(self, work: Work) -> float:
         """Return the seconds that work needs once it is placed, or it is refused as too late.
@@ -225,7 +225,7 @@
         self._waiters[work.request_id] = waiter
         self._has_waiting.set()
         self.queue(work.pool).push(work, now_unix_s())
-        self.pump(work.pool)
+        self.place_waiting(work.pool)
         try:
             return await placed
         except asyncio.CancelledError:
@@ -238,7 +238,7 @@
         self.queue(work.pool).remove(work.request_id)
         if placed.done() and not placed.cancelled():
             self.table.release(work.request_id, now_unix_s())
-            self.pump(work.pool)
+            self.place_waiting(work.pool)
 
     def _refuse_expired(self, work: Work) -> None:
         waiter = self._waiters.pop(work.request_id, None)
@@ -247,7 +247,7 @@
         wait_s, detail = self.expected_wait_s(work), "it can no longer finish by its deadline"
         queue = self.queue(work.pool)
         retry_at_unix_s = queue.retry_at_unix_s(work.rank, wait_s, now_unix_s(), self.rng)
-        refusal = refuse(Kind.DEADLINE_PASSED, Run.NO, detail, retry_at_unix_s)
+        refusal = refuse(ErrorKind.DEADLINE_PASSED, RunStatus.NO, detail, retry_at_unix_s)
         waiter.placed.set_exception(RefusedError(refusal))
 
     def _started(self, work: Work) -> None:
