--- a/src/pomelobarrow/decision/heartbeat_timer.py
+++ b/src/pomelobarrow/decision/heartbeat_timer.py
@@ -60,7 +60,8 @@
         self._in_interval = False
 
     def _observe_interval(self, interval_s: float) -> None:
-        # A long silence would raise the timeout to the maximum.
+        # The end of a long silence is no regular interval; it would raise the timeout to the
+        # maximum.
         if not 0 <= interval_s <= MAX_TIMEOUT_S:
             return
         self._intervals += 1
--- a/src/pomelobarrow/decision/keyspace.py
+++ b/src/pomelobarrow/decision/keyspace.py
@@ -156,7 +156,7 @@
         )
 
     def apply_in_force(self, delta: Delta) -> ApplyResult:
-        """Put the values in force of another copy in force, while a later revision is refused.
+        """Adopt the values in force of another copy, while a later revision is refused here.
 
         The platform returns only the newest value of a key. Without this, a VM that starts while
         that value is invalid would have no configuration, although every other VM has one.
--- a/src/pomelobarrow/decision/membership.py
+++ b/src/pomelobarrow/decision/membership.py
@@ -51,14 +51,14 @@
     def __attrs_post_init__(self) -> None:
         self.own = Member(vm=self.own_vm, region=self.own_region)
 
-    def _resolve_time(self, now_unix_s: float | None) -> float:
+    def _resolve_unix_s(self, now_unix_s: float | None) -> float:
         """Return the given time, or the time of the latest observation if none is given."""
         if now_unix_s is None:
             return self._latest_unix_s
         self._latest_unix_s = now_unix_s
         return now_unix_s
 
-    def _evaluation_time(self, now_unix_s: float) -> float:
+    def _evaluation_unix_s(self, now_unix_s: float) -> float:
         """Return the time up to which the silence of other members counts.
 
         After a pause of this process, the view may be read before the next tick detects the pause,
@@ -86,7 +86,7 @@
         """Apply a heartbeat received from the member itself; return False if it is out of date."""
         if member.vm == self.own_vm:
             return False
-        last_seen_unix_s = self._resolve_time(now_unix_s)
+        last_seen_unix_s = self._resolve_unix_s(now_unix_s)
         record = self._records.get(member.vm)
         if record is None or member.incarnation > record.member.incarnation:
             record = MemberRecord(member, HeartbeatTimer(), last_seen_unix_s)
@@ -103,7 +103,7 @@
         """Apply another daemon's description of a member; it never overrides direct evidence."""
         if member.vm == self.own_vm:
             return False
-        last_seen_unix_s = min(member.last_seen_unix_s, self._resolve_time(now_unix_s))
+        last_seen_unix_s = min(member.last_seen_unix_s, self._resolve_unix_s(now_unix_s))
         # An old update about a forgotten VM would make daemons re-add it from one another.
         if now_unix_s - last_seen_unix_s > self.forget_after_s:
             return False
@@ -141,7 +141,7 @@
         record = self._records.get(vm)
         if record is None or record.member.incarnation != incarnation:
             return False
-        last_seen_unix_s = min(last_seen_unix_s, self._resolve_time(now_unix_s))
+        last_seen_unix_s = min(last_seen_unix_s, self._resolve_unix_s(now_unix_s))
         if not record.is_newer_report(last_seen_unix_s, now_unix_s):
             return False
         record.apply_report(last_seen_unix_s, reported_by, timeout_s)
@@ -151,7 +151,7 @@
     def observe_link_closed(self, vm: str, now_unix_s: float) -> None:
         """Rely on reports from now on: the last stream to a member was closed on purpose."""
         record = self._records.get(vm)
-        if record is not None and record.is_live(self._resolve_time(now_unix_s)):
+        if record is not None and record.is_live(self._resolve_unix_s(now_unix_s)):
             record.expect_reports_only()
             self._live.invalidate()
 
@@ -161,7 +161,7 @@
         """Record a planned stop: the member gets no new work, the successor takes over its ids."""
         if successor:
             self._handovers[(vm, incarnation)] = _Handover(
-                successor, self._resolve_time(now_unix_s)
+                successor, self._resolve_unix_s(now_unix_s)
             )
         record = self._records.get(vm)
         if record is not None and record.member.incarnation == incarnation:
@@ -170,7 +170,7 @@
 
     def observe_pause(self, now_unix_s: float, gap_s: float) -> None:
         """Mark the view as untrusted after a pause of this process and restart the timers."""
-        self._pause_unix_s = self._resolve_time(now_unix_s)
+        self._pause_unix_s = self._resolve_unix_s(now_unix_s)
         # Heartbeats that arrived during the pause are still unread in the sockets. By the clock
         # alone, every member would appear dead.
         for record in self._records.values():
@@ -197,7 +197,7 @@
 
     def _current_live_set(self, now_unix_s: float) -> LiveSet:
         """Return the live set, refreshed if the liveness of a member may have changed."""
-        evaluated_unix_s = self._evaluation_time(now_unix_s)
+        evaluated_unix_s = self._evaluation_unix_s(now_unix_s)
         if not self._live.is_valid_at(evaluated_unix_s):
             self._live.refresh(self._records.values(), self.own, evaluated_unix_s)
         return self._live
@@ -211,7 +211,7 @@
 
         It is computed again only after these have changed.
         """
-        kept = self._current_live_set(self._resolve_time(now_unix_s)).memoized
+        kept = self._current_live_set(self._resolve_unix_s(now_unix_s)).memoized
         if key not in kept:
             kept[key] = compute()
         return cast(T, kept[key])
@@ -235,7 +235,7 @@
         self, region: str | None = None, now_unix_s: float | None = None
     ) -> tuple[Member, ...]:
         """Return this daemon's own member and all other live ones, sorted by VM name."""
-        return self._current_live_set(self._resolve_time(now_unix_s)).in_region(region)
+        return self._current_live_set(self._resolve_unix_s(now_unix_s)).in_region(region)
 
     def live_peers(
         self, region: str | None = None, now_unix_s: float | None = None
@@ -268,7 +268,7 @@
         return self._recently_seen(member for member in members if member.phase == leaving)
 
     def _recently_seen(self, members: Iterable[Member]) -> tuple[Member, ...]:
-        now_unix_s = self._evaluation_time(self._latest_unix_s)
+        now_unix_s = self._evaluation_unix_s(self._latest_unix_s)
         records = self._records
         return tuple(
             member
