--- a/bench/replay/fleet.py
+++ b/bench/replay/fleet.py
@@ -15,16 +15,21 @@
 from bench.replay.engine import ReplayEngine, Stream
 from pomelobarrow.decision.cold_start import ColdLimiter
 from pomelobarrow.decision.configuration import Rank
-from pomelobarrow.decision.costs import prefill_tokens
 from pomelobarrow.decision.live_members import LiveMembers
 from pomelobarrow.decision.load_table import LoadTable
 from pomelobarrow.decision.member import Member
 from pomelobarrow.decision.membership import MembershipView
 from pomelobarrow.decision.placement import Placer
-from pomelobarrow.decision.placement_request import Excluded, Nowhere, OnPeer, OnServer
+from pomelobarrow.decision.placement_request import (
+    ExcludedTargets,
+    LocalPlacement,
+    NoPlacement,
+    PeerPlacement,
+)
 from pomelobarrow.decision.region_choice import RegionLoad
 from pomelobarrow.decision.routing import Route, RouteKind, Routing
-from pomelobarrow.decision.server_choice import least_wait_s, quietest_engine
+from pomelobarrow.decision.server_choice import least_disturbed_engine, least_wait_s
+from pomelobarrow.decision.token_estimates import prefill_tokens
 from pomelobarrow.decision.work import BackendServer, Work
 from pomelobarrow.peers.grid import neighbours
 from pomelobarrow.relay.messages import PromptPart, RelayRequest, RequestHead
@@ -133,7 +138,7 @@
         self._beat(region, name, START_UNIX_S)
         table = LoadTable(region)
         table.set_servers(self.servers.values())
-        table.reading.region_vms = self.vms_per_region
+        table.prefill_rates.region_vms = self.vms_per_region
         placer = Placer(
             own_region=region,
             own_failure_domain=region,
@@ -172,8 +177,8 @@
         for peer in self._vms:
             if peer.name in heard_by:
                 peer.table.observe_peer(vm.name, vm.table.in_flight(), now_unix_s)
-                reading_per_s = vm.table.reading.own_per_s(POOL, now_unix_s)
-                peer.table.reading.observe_peer(vm.name, POOL, reading_per_s, now_unix_s)
+                reading_per_s = vm.table.prefill_rates.own_tokens_per_s(POOL, now_unix_s)
+                peer.table.prefill_rates.observe_peer(vm.name, POOL, reading_per_s, now_unix_s)
                 sums = vm.table.service_times(POOL).own_sums()
                 peer.table.service_times(POOL).observe_peer(vm.name, sums)
 
@@ -187,7 +192,7 @@
                 round_trip_s=ROUND_TRIP_S,
                 measured_unix_s=now_unix_s,
                 servers=len(table.usable(POOL, now_unix_s)),
-                quietest=quietest_engine(table, POOL, now_unix_s),
+                least_disturbed=least_disturbed_engine(table, POOL, now_unix_s),
             )
         for vm in self._vms:
             vm.placer.members.usable = [self._member(each) for each in self._vms]
@@ -208,8 +213,8 @@
             route=kind.route.name, arrived_s=now_unix_s - START_UNIX_S, outcome="unfinished"
         )
         self.ended.append(result)
-        decision = vm.placer.place(request.for_placement, Routing(), Excluded(), now_unix_s)
-        if isinstance(decision, OnPeer):
+        decision = vm.placer.place(request.for_placement, Routing(), ExcludedTargets(), now_unix_s)
+        if isinstance(decision, PeerPlacement):
             there = next(each for each in self._vms if each.name == decision.member.vm)
             self._at(
                 now_unix_s + ROUND_TRIP_S,
@@ -230,7 +235,7 @@
             target="/",
             forwarded_by="peer",
         )
-        decision = vm.placer.place(request.for_placement, Routing(), Excluded(), now_unix_s)
+        decision = vm.placer.place(request.for_placement, Routing(), ExcludedTargets(), now_unix_s)
         self._begin(vm, kind, request, result, decision, now_unix_s)
 
     def _begin(
@@ -239,10 +244,10 @@
         kind: Kind,
         request: RelayRequest,
         result: Ended,
-        decision: OnServer | OnPeer | Nowhere,
+        decision: LocalPlacement | PeerPlacement | NoPlacement,
         now_unix_s: float,
     ) -> None:
-        if not isinstance(decision, OnServer):
+        if not isinstance(decision, LocalPlacement):
             result.outcome = "refused"
             return
         work, placement = request.work, decision.placement
--- a/src/pomelobarrow/backends/plugin.py
+++ b/src/pomelobarrow/backends/plugin.py
@@ -170,7 +170,7 @@
 def _watch(context: Context) -> ServerWatch:
     return ServerWatch(
         dial=context.settings.dial,
-        is_staying=context.get(LoadTable).is_staying,
+        is_staying=context.get(LoadTable).is_in_service,
         observe=context.observe,
     )
 
--- a/src/pomelobarrow/callers/parsing.py
+++ b/src/pomelobarrow/callers/parsing.py
@@ -16,9 +16,9 @@
     Rank,
     WorkClass,
 )
-from pomelobarrow.decision.costs import estimate_prompt_tokens, prefix_hashes
 from pomelobarrow.decision.errors import Kind, Refusal, Run
 from pomelobarrow.decision.request_ids import parse_issuer
+from pomelobarrow.decision.token_estimates import estimate_prompt_tokens, prefix_hashes
 from pomelobarrow.decision.work import Work
 from pomelobarrow.dispatch.refusals import refuse
 
--- a/src/pomelobarrow/decision/load_table.py
+++ b/src/pomelobarrow/decision/load_table.py
@@ -8,8 +8,8 @@
 
 from pomelobarrow.decision.group_servers import GroupServers
 from pomelobarrow.decision.peer_counts import NOTHING, PeerCounts
+from pomelobarrow.decision.prefill_rates import PrefillRates
 from pomelobarrow.decision.prefix_index import PrefixIndex
-from pomelobarrow.decision.reading_rates import ReadingRates
 from pomelobarrow.decision.report_clock import ReportClock
 from pomelobarrow.decision.server_health import ServerHealth
 from pomelobarrow.decision.server_limits import ServerLimits
@@ -43,7 +43,7 @@
     # How surely a stream there is late now, from what streams of this VM show.
     seen_late_share: float = 0.0
     # The share of its time that it spends reading prompts.
-    reading_share: float = 0.0
+    prefill_share: float = 0.0
 
 
 class LoadTable:
@@ -53,7 +53,7 @@
         self.own_region = own_region
         self.prefixes = PrefixIndex()
         self.pauses = ServerPauses()
-        self.reading = ReadingRates()
+        self.prefill_rates = PrefillRates()
         self.limits = ServerLimits()
         # Failure domains that are being emptied: their servers get no new work.
         self.closed_domains: frozenset[str] = frozenset()
@@ -105,12 +105,12 @@
         near = {vm: peer.near(report.server, measured_unix_s) for vm, peer in self._peers.items()}
         load.observe_report(report, measured_unix_s, near)
 
-    def observe_glimpse(self, report: LoadReport, now_unix_s: float) -> None:
+    def observe_partial_report(self, report: LoadReport, now_unix_s: float) -> None:
         """Take in what a server told this VM with an answer, and keep it to be told to peers."""
         self._glimpses[report.server] = report
         self.observe_report(report, now_unix_s)
 
-    def glimpses(self, now_unix_s: float) -> list[LoadReport]:
+    def partial_reports(self, now_unix_s: float) -> list[LoadReport]:
         """Return what servers told this VM itself of late."""
         oldest_unix_s = now_unix_s - GLIMPSE_GOOD_FOR_S
         return [each for each in self._glimpses.values() if each.measured_unix_s >= oldest_unix_s]
@@ -131,7 +131,7 @@
         """Drop a peer's counts; what it left running is in the servers' reports."""
         for times in self._times.values():
             times.forget_peer(vm)
-        self.reading.forget_peer(vm)
+        self.prefill_rates.forget_peer(vm)
         peer = self._peers.pop(vm, None)
         if peer is None:
             return
@@ -160,7 +160,7 @@
         load.add(charge)
         if server_name in self._servers:
             self.limits.take(self._servers[server_name], now_unix_s)
-        self.reading.add(server_name, self._pool_of(server_name), tokens, now_unix_s)
+        self.prefill_rates.add(server_name, self._pool_of(server_name), tokens, now_unix_s)
         self._times_of(server_name).observe_charge(tokens, kv_tokens)
 
     def started(self, request_id: str, now_unix_s: float) -> None:
@@ -220,7 +220,7 @@
         """Return the servers of a pool that may get new work, without their state."""
         staying = [s for s in self.pool_servers(pool) if not self._leaves(s)]
         # A lapsed lease is no proof that a server is gone; where others hold theirs, they go first.
-        staying = [s for s in staying if not s.is_lapsed] or staying
+        staying = [s for s in staying if not s.is_lease_expired] or staying
         healthy = [s for s in staying if not self._health[s.name].is_ejected(now_unix_s)]
         # When every server is ejected, the fault is likelier on this side; an empty pool would
         # refuse work that a server could run, so all are tried.
@@ -243,7 +243,7 @@
         times = self.service_times(pool)
         # As many come as go; either count varies by its square root.
         unseen_share = 2.0 * self.view_age_s / max(times.hold_s, 1e-3)
-        of_pool = self.reading.share_of_pool(
+        of_pool = self.prefill_rates.share_of_pool(
             pool, len(self.pool_servers(pool)), times.s_per_prefill_token, now_unix_s
         )
         return [self._state(s, unseen_share, of_pool, times, now_unix_s) for s in servers]
@@ -290,10 +290,12 @@
             for server in self.usable_servers(pool, now_unix_s)
         )
 
-    def is_staying(self, server: BackendServer) -> bool:
+    def is_in_service(self, server: BackendServer) -> bool:
         """Say whether a server is listed, the same incarnation, and has not said that it leaves."""
         listed = self._servers.get(server.name)
-        return listed is not None and self.is_current(server) and not self._leaves(listed)
+        return (
+            listed is not None and self.is_current_incarnation(server) and not self._leaves(listed)
+        )
 
     def _leaves(self, server: BackendServer) -> bool:
         report = self._loads[server.name].report
@@ -322,7 +324,7 @@
             kv_tokens=load.own_kv_tokens + round(others * times.kv_tokens),
             slots=server.slots * self._health[server.name].admitted_share(now_unix_s),
             seen_late_share=self.pauses.late_share(server.name, now_unix_s),
-            reading_share=self.reading.share(
+            prefill_share=self.prefill_rates.share(
                 server.name, reading_share_of_pool, times.s_per_prefill_token, now_unix_s
             ),
         )
@@ -352,7 +354,7 @@
         is_whole = load.report is not None and not load.is_glimpsed
         if is_whole or not self._peers:
             return 1.0
-        return max(1.0, (self.reading.region_vms - 1) / len(self._peers))
+        return max(1.0, (self.prefill_rates.region_vms - 1) / len(self._peers))
 
     def _tokens_ahead(self, name: str, load: ServerLoad, now_unix_s: float) -> int | None:
         """Return the prefill before a new request, where that is all it waits for."""
@@ -363,7 +365,7 @@
         surely_has_slot = state.requests + 2.0 * state.requests_deviation < server.slots
         return load.tokens(now_unix_s) if surely_has_slot else None
 
-    def is_current(self, server: BackendServer) -> bool:
+    def is_current_incarnation(self, server: BackendServer) -> bool:
         """Say whether a server hasn't started again since."""
         listed = self._servers.get(server.name)
         return listed is None or listed.born_unix_ms == server.born_unix_ms
@@ -386,7 +388,7 @@
         self._clocks.pop(name, None)
         self._glimpses.pop(name, None)
         self.pauses.forget(name)
-        self.reading.forget(name)
+        self.prefill_rates.forget(name)
         # Kept, these would be taken off the counts of the next server of that name.
         self._peers = {vm: counts.without(name) for vm, counts in self._peers.items()}
 
--- a/src/pomelobarrow/decision/local_choice.py
+++ b/src/pomelobarrow/decision/local_choice.py
@@ -13,7 +13,7 @@
 from pomelobarrow.decision.configuration import Rank
 from pomelobarrow.decision.live_members import LiveMembers
 from pomelobarrow.decision.load_table import LoadTable, ServerState
-from pomelobarrow.decision.placement_request import Excluded, PlacementRequest
+from pomelobarrow.decision.placement_request import ExcludedTargets, PlacementRequest
 from pomelobarrow.decision.routing import Routing
 from pomelobarrow.decision.server_choice import StateReader, choose_server, state_reader
 from pomelobarrow.decision.work import BackendServer, Placement
@@ -37,7 +37,11 @@
     rng: Random = field(factory=Random)
 
     def choose(
-        self, request: PlacementRequest, routing: Routing, excluded: Excluded, now_unix_s: float
+        self,
+        request: PlacementRequest,
+        routing: Routing,
+        excluded: ExcludedTargets,
+        now_unix_s: float,
     ) -> Placement | None:
         """Return the server that answers first, a near one where that is as good."""
         if not request.route.may_run_in(self.own_region):
@@ -90,7 +94,7 @@
             if not self.cold.allows(server, rate_per_s, vms, now_unix_s)
         }
 
-    def note_placed(self, server: BackendServer, now_unix_s: float) -> None:
+    def record_placement(self, server: BackendServer, now_unix_s: float) -> None:
         """Count a placement against a cold server's allowance."""
         if server.cold_until_unix_s > now_unix_s:
             self.cold.take(server, now_unix_s)
--- a/src/pomelobarrow/decision/outliers.py
+++ b/src/pomelobarrow/decision/outliers.py
@@ -44,7 +44,7 @@
         if slowness is not None:
             record.slowness += weight * (slowness - record.slowness)
 
-    def verdict(self, server: str, pool_servers: Iterable[str]) -> str:
+    def outlier_reason(self, server: str, pool_servers: Iterable[str]) -> str:
         """Return why a server is an outlier among its pool's, or nothing."""
         record = self._records.get(server)
         if record is None or record.samples < MIN_SAMPLES:
--- a/src/pomelobarrow/decision/placement.py
+++ b/src/pomelobarrow/decision/placement.py
@@ -10,14 +10,14 @@
 from pomelobarrow.decision.load_table import LoadTable
 from pomelobarrow.decision.local_choice import LocalChoice
 from pomelobarrow.decision.placement_request import (
-    ALL_BEHIND,
-    HERE_IS_LIMITED,
-    NOTHING_HERE,
+    ALL_SERVERS_LATE,
+    LOCAL_RATE_LIMITED,
+    NO_LOCAL_SERVER,
     Decision,
-    Excluded,
-    Nowhere,
-    OnPeer,
-    OnServer,
+    ExcludedTargets,
+    LocalPlacement,
+    NoPlacement,
+    PeerPlacement,
     PlacementRequest,
 )
 from pomelobarrow.decision.region_choice import RegionLoad
@@ -67,7 +67,11 @@
         )
 
     def place(
-        self, request: PlacementRequest, routing: Routing, excluded: Excluded, now_unix_s: float
+        self,
+        request: PlacementRequest,
+        routing: Routing,
+        excluded: ExcludedTargets,
+        now_unix_s: float,
     ) -> Decision:
         """Return where a request goes next."""
         self.members.refresh(now_unix_s)
@@ -75,12 +79,12 @@
         here_or_nowhere = _here_or_nowhere(request, here, now_unix_s)
         if request.is_forwarded:
             return here_or_nowhere
-        is_taken_here = isinstance(here_or_nowhere, OnServer)
+        is_taken_here = isinstance(here_or_nowhere, LocalPlacement)
         coordinator = self._remote.coordinator(request, here, is_taken_here, excluded, now_unix_s)
         if coordinator is not None:
             return coordinator
         if here is not None and not _may_leave(request, here):
-            return OnServer(placement=here)
+            return LocalPlacement(placement=here)
         elsewhere = self._remote.choose(request, here, excluded, now_unix_s)
         if elsewhere is not None:
             expected_s = elsewhere.expected_first_answer_s
@@ -89,41 +93,46 @@
             return self._nowhere(request, excluded, now_unix_s)
         return here_or_nowhere
 
-    def _nowhere(self, request: PlacementRequest, excluded: Excluded, now_unix_s: float) -> Nowhere:
+    def _nowhere(
+        self, request: PlacementRequest, excluded: ExcludedTargets, now_unix_s: float
+    ) -> NoPlacement:
         """Say whether nothing but the limits of this region's servers is in the way."""
         if not request.route.may_run_in(self.own_region):
-            return Nowhere(reason=NOTHING_HERE)
+            return NoPlacement(reason=NO_LOCAL_SERVER)
         pool = request.work.pool
         next_unix_s = self.table.next_allowed_unix_s(pool, excluded.servers, now_unix_s)
         if next_unix_s is None:
-            return Nowhere(reason=NOTHING_HERE)
+            return NoPlacement(reason=NO_LOCAL_SERVER)
         # Where others send at the rate, coming back once they have sent is all there is.
         drain_per_s = max(self.table.drain_per_s(pool, now_unix_s), LEAST_PER_S)
         wait_s = min(next_unix_s - now_unix_s, 1.0 / drain_per_s)
-        return Nowhere(reason=HERE_IS_LIMITED, wait_s=wait_s, next_unix_s=next_unix_s)
+        return NoPlacement(reason=LOCAL_RATE_LIMITED, wait_s=wait_s, next_unix_s=next_unix_s)
 
-    def note_placed(self, server: BackendServer, now_unix_s: float) -> None:
+    def record_placement(self, server: BackendServer, now_unix_s: float) -> None:
         """Count a placement against a cold server's allowance."""
-        self._local.note_placed(server, now_unix_s)
+        self._local.record_placement(server, now_unix_s)
 
 
 def _here_or_nowhere(
     request: PlacementRequest, here: Placement | None, now_unix_s: float
 ) -> Decision:
     if here is None:
-        return Nowhere(reason=NOTHING_HERE)
-    return _unless_behind(request, OnServer(placement=here), here.expected_wait_s, now_unix_s)
+        return NoPlacement(reason=NO_LOCAL_SERVER)
+    return _unless_behind(request, LocalPlacement(placement=here), here.expected_wait_s, now_unix_s)
 
 
 def _unless_behind(
-    request: PlacementRequest, decision: OnServer | OnPeer, expected_s: float, now_unix_s: float
+    request: PlacementRequest,
+    decision: LocalPlacement | PeerPlacement,
+    expected_s: float,
+    now_unix_s: float,
 ) -> Decision:
     """Refuse a stream where even the best server is too far behind."""
     if not request.work.prompt_tokens:
         return decision
     if is_worth_taking(_promise(request), expected_s, now_unix_s):
         return decision
-    return Nowhere(reason=ALL_BEHIND, wait_s=expected_s)
+    return NoPlacement(reason=ALL_SERVERS_LATE, wait_s=expected_s)
 
 
 def _may_leave(request: PlacementRequest, here: Placement) -> bool:
--- a/src/pomelobarrow/decision/placement_request.py
+++ b/src/pomelobarrow/decision/placement_request.py
@@ -11,13 +11,13 @@
 # Less than this part of a shared prompt in a cache here counts as not there.
 WARM_SHARE = 0.5
 WARM_ELSEWHERE = "another region keeps this prompt warm"
-COORDINATED = "another VM coordinates this prompt's server"
-HERE_IS_BEST = "this region answers first"
-HOME_ELSEWHERE = "the route is bound to other regions"
-HERE_IS_LATE = "this region would be late"
-ALL_BEHIND = "every server is too far behind"
-HERE_IS_LIMITED = "this region's servers take no more requests a second"
-NOTHING_HERE = "this region has no server for it"
+COORDINATED_BY_PEER = "another VM coordinates this prompt's server"
+LOCAL_REGION_FASTEST = "this region answers first"
+BOUND_TO_OTHER_REGIONS = "the route is bound to other regions"
+LOCAL_REGION_LATE = "this region would be late"
+ALL_SERVERS_LATE = "every server is too far behind"
+LOCAL_RATE_LIMITED = "this region's servers take no more requests a second"
+NO_LOCAL_SERVER = "this region has no server for it"
 
 
 @frozen(kw_only=True)
@@ -46,15 +46,15 @@
 
 
 @frozen(kw_only=True)
-class OnServer:
+class LocalPlacement:
     """Name a backend server of this region."""
 
     placement: Placement
-    reason: str = HERE_IS_BEST
+    reason: str = LOCAL_REGION_FASTEST
 
 
 @frozen(kw_only=True)
-class OnPeer:
+class PeerPlacement:
     """Name a peer: in another region, or the one that coordinates a server."""
 
     member: Member
@@ -65,7 +65,7 @@
 
 
 @frozen(kw_only=True)
-class Nowhere:
+class NoPlacement:
     """Say why a request can't be sent anywhere."""
 
     reason: str
@@ -74,11 +74,11 @@
     next_unix_s: float | None = None
 
 
-Decision = OnServer | OnPeer | Nowhere
+Decision = LocalPlacement | PeerPlacement | NoPlacement
 
 
 @define(kw_only=True)
-class Excluded:
+class ExcludedTargets:
     """Hold whom a request has been to, or could not reach."""
 
     servers: set[str] = field(factory=set)
--- a/src/pomelobarrow/decision/reading_rates.py
+++ b/src/pomelobarrow/decision/prefill_rates.py
@@ -27,7 +27,7 @@
 
 
 @define
-class ReadingRates:
+class PrefillRates:
     """Hold the prompt tokens a second that this VM and its neighbours send to servers and pools.
 
     VMs that aren't heard are taken to do as those that are, as clients spread over all. Where the
@@ -52,12 +52,12 @@
         """Return the mean share of a pool's servers."""
         told = [told for (_, of_pool), told in self._told.items() if of_pool == pool]
         told_per_s = sum(each.at(now_unix_s) for each in told)
-        tokens_per_s = self.own_per_s(pool, now_unix_s) + told_per_s
+        tokens_per_s = self.own_tokens_per_s(pool, now_unix_s) + told_per_s
         # A neighbour may be heard a moment before the region's VMs are counted anew.
         unheard_factor = max(1.0, self.region_vms / (1 + len(told)))
         return tokens_per_s * unheard_factor * s_per_token / max(1, servers)
 
-    def own_per_s(self, pool: str, now_unix_s: float) -> float:
+    def own_tokens_per_s(self, pool: str, now_unix_s: float) -> float:
         """Return the tokens a second that this VM itself sends to a pool."""
         return self._by_pool.per_s(pool, now_unix_s)
 
--- a/src/pomelobarrow/decision/region_choice.py
+++ b/src/pomelobarrow/decision/region_choice.py
@@ -7,11 +7,11 @@
 
 from attrs import frozen
 
-from pomelobarrow.decision.stream_pauses import Engine
+from pomelobarrow.decision.stream_pauses import EngineLoad
 from pomelobarrow.decision.work import Work
 
 # A view older than this may describe a region that is lost.
-LOAD_GOOD_FOR_S = 5.0
+MAX_LOAD_AGE_S = 5.0
 # A region that was lost takes its work back over this time, since its caches are cold.
 SLOW_START_S = 20.0
 SLOW_START_SHARE = 0.1
@@ -23,10 +23,10 @@
 
     HOME_BOUND = "work may not leave its home region"
     HOME_MEETS_TARGET = "home meets the target"
-    HOME_IS_FIRST = "no other region meets the target either"
+    HOME_IS_FASTEST = "no other region meets the target either"
     HOME_LOST = "home can't be reached"
     HOME_OVERLOADED = "home misses the target and this region meets it"
-    HOME_WARMS_UP = "home has just come back with cold caches"
+    HOME_RECOVERING = "home has just come back with cold caches"
     SHARE_USED_UP = "the class's share outside home is used up"
     NO_REGION = "no region with servers of the pool is known"
 
@@ -46,11 +46,11 @@
     # When the region was heard again after a loss.
     returned_unix_s: float = float("-inf")
     # The server whose streams one more long prompt disturbs least.
-    quietest: Engine = Engine()
+    least_disturbed: EngineLoad = EngineLoad()
 
     def is_fresh(self, now_unix_s: float) -> bool:
         """Say whether it still describes the region."""
-        return now_unix_s - self.measured_unix_s <= LOAD_GOOD_FOR_S
+        return now_unix_s - self.measured_unix_s <= MAX_LOAD_AGE_S
 
 
 @frozen(kw_only=True)
@@ -110,7 +110,7 @@
     others = list(usable.values())
     in_time = [load for load in others if _spare_s(work, load, own_region, now_unix_s) > 0.0]
     if not in_time and (home is not None or not others):
-        return _stay(work, home, RegionReason.HOME_IS_FIRST)
+        return _stay(work, home, RegionReason.HOME_IS_FASTEST)
     if not share.allows(work.class_name):
         return _stay(work, home, RegionReason.SHARE_USED_UP)
     if not in_time:
@@ -125,7 +125,7 @@
 def _stay(work: Work, home: RegionLoad | None, reason: RegionReason) -> RegionChoice:
     if home is not None:
         return RegionChoice(region=work.home_region, reason=reason)
-    lost = RegionReason.NO_REGION if reason is RegionReason.HOME_IS_FIRST else reason
+    lost = RegionReason.NO_REGION if reason is RegionReason.HOME_IS_FASTEST else reason
     return RegionChoice(region=None, reason=lost)
 
 
@@ -138,7 +138,7 @@
         return RegionReason.HOME_OVERLOADED
     ramp = (now_unix_s - home.returned_unix_s) / SLOW_START_S
     if random.random() > max(SLOW_START_SHARE, ramp):
-        return RegionReason.HOME_WARMS_UP
+        return RegionReason.HOME_RECOVERING
     return RegionReason.HOME_MEETS_TARGET
 
 
--- a/src/pomelobarrow/decision/region_cost.py
+++ b/src/pomelobarrow/decision/region_cost.py
@@ -9,7 +9,7 @@
 
 from pomelobarrow.decision.region_choice import RegionLoad
 from pomelobarrow.decision.server_choice import REREAD_WEIGHT
-from pomelobarrow.decision.stream_pauses import Engine, PauseTarget, pause_cost_s
+from pomelobarrow.decision.stream_pauses import EngineLoad, PauseTarget, pause_cost_s
 
 # Where another region's round trip isn't known yet, the slowest that is usual between regions.
 UNKNOWN_ROUND_TRIP_S = 0.15
@@ -39,7 +39,7 @@
     is_known = load is not None and load.is_fresh(now_unix_s)
     round_trip_s = (load.round_trip_s if load else 0.0) or UNKNOWN_ROUND_TRIP_S
     wait_s = load.expected_wait_s if load and is_known else 0.0
-    engine = load.quietest if load and is_known else Engine()
+    engine = load.least_disturbed if load and is_known else EngineLoad()
     first_answer_s = wait_s + ROUND_TRIPS * round_trip_s + reading.prompt_s
     pause_s = pause_cost_s(reading.target, engine, reading.prompt_s)
     cost_s = first_answer_s + REREAD_WEIGHT * reading.prompt_s + pause_s
--- a/src/pomelobarrow/decision/remote_choice.py
+++ b/src/pomelobarrow/decision/remote_choice.py
@@ -17,13 +17,13 @@
 from pomelobarrow.decision.load_table import LoadTable
 from pomelobarrow.decision.member import Member
 from pomelobarrow.decision.placement_request import (
-    COORDINATED,
-    HERE_IS_LATE,
-    HOME_ELSEWHERE,
-    NOTHING_HERE,
+    BOUND_TO_OTHER_REGIONS,
+    COORDINATED_BY_PEER,
+    LOCAL_REGION_LATE,
+    NO_LOCAL_SERVER,
     WARM_ELSEWHERE,
-    Excluded,
-    OnPeer,
+    ExcludedTargets,
+    PeerPlacement,
     PlacementRequest,
 )
 from pomelobarrow.decision.region_choice import RegionLoad
@@ -61,9 +61,9 @@
         request: PlacementRequest,
         here: Placement | None,
         is_here_early: bool,
-        excluded: Excluded,
+        excluded: ExcludedTargets,
         now_unix_s: float,
-    ) -> OnPeer | None:
+    ) -> PeerPlacement | None:
         """Return the VM that coordinates a server of a long shared prompt, unless it is this one.
 
         A coordinator that can't begin the prompt in time turns it back at once. Then the group's
@@ -83,9 +83,9 @@
                     return None
             elif member is not None:
                 expected_s = self._expected_there(request, server.region, now_unix_s)
-                reason = COORDINATED if server.region == self.own_region else WARM_ELSEWHERE
+                reason = COORDINATED_BY_PEER if server.region == self.own_region else WARM_ELSEWHERE
                 if expected_s < request.route.first_answer_target_s:
-                    return OnPeer(
+                    return PeerPlacement(
                         member=member,
                         reason=reason,
                         expected_first_answer_s=expected_s,
@@ -131,9 +131,9 @@
         self,
         request: PlacementRequest,
         here: Placement | None,
-        excluded: Excluded,
+        excluded: ExcludedTargets,
         now_unix_s: float,
-    ) -> OnPeer | None:
+    ) -> PeerPlacement | None:
         warm = self._warm_regions(request, now_unix_s)
         costs = self._costs_elsewhere(request, excluded, warm, now_unix_s)
         if here is not None:
@@ -147,7 +147,7 @@
             return None
         if request.is_long_shared:
             self.sent_groups.note(request.group, region, now_unix_s)
-        return OnPeer(
+        return PeerPlacement(
             member=member,
             reason=self._reason_to_leave(request, here, region in warm),
             expected_first_answer_s=costs[region].first_answer_s,
@@ -157,15 +157,15 @@
         self, request: PlacementRequest, here: Placement | None, is_warm_there: bool
     ) -> str:
         if not request.route.may_run_in(self.own_region):
-            return HOME_ELSEWHERE
+            return BOUND_TO_OTHER_REGIONS
         if is_warm_there:
             return WARM_ELSEWHERE
-        return NOTHING_HERE if here is None else HERE_IS_LATE
+        return NO_LOCAL_SERVER if here is None else LOCAL_REGION_LATE
 
     def _costs_elsewhere(
         self,
         request: PlacementRequest,
-        excluded: Excluded,
+        excluded: ExcludedTargets,
         warm: Mapping[str, str],
         now_unix_s: float,
     ) -> dict[str, RegionCost]:
@@ -201,7 +201,7 @@
         return self.rng.choices(list(in_time), list(in_time.values()))[0]
 
     def _choose_member(
-        self, region: str, excluded: Excluded, failure_domain: str = ""
+        self, region: str, excluded: ExcludedTargets, failure_domain: str = ""
     ) -> Member | None:
         """Return a peer of a region, one beside the server where that is known."""
         members = [m for m in self.members.usable_in(region) if m.vm not in excluded.peers]
--- a/src/pomelobarrow/decision/server_choice.py
+++ b/src/pomelobarrow/decision/server_choice.py
@@ -9,7 +9,7 @@
 from pomelobarrow.decision.load_table import LoadTable, ServerState
 from pomelobarrow.decision.service_times import ServiceTimes
 from pomelobarrow.decision.stale_view import choose_index, filled, shrunk
-from pomelobarrow.decision.stream_pauses import Engine, PauseTarget, pause_cost_s
+from pomelobarrow.decision.stream_pauses import EngineLoad, PauseTarget, pause_cost_s
 from pomelobarrow.decision.work import BackendServer, Placement, Work
 
 # Paying work may wait a little at the engine, which runs it before all trial work; trial work
@@ -114,25 +114,25 @@
     return min(_waits_s(states, table.service_times(pool), table.view_age_s))
 
 
-def quietest_engine(table: LoadTable, pool: str, now_unix_s: float) -> Engine:
+def least_disturbed_engine(table: LoadTable, pool: str, now_unix_s: float) -> EngineLoad:
     """Return what a long prompt meets at the server whose streams it disturbs least."""
     states = table.usable(pool, now_unix_s)
     s_per_token = table.service_times(pool).s_per_prefill_token
     engines = [_engine(state, s_per_token) for state in states]
-    return min(engines, key=_disturbance, default=Engine())
+    return min(engines, key=_disturbance, default=EngineLoad())
 
 
-def _engine(state: ServerState, s_per_token: float) -> Engine:
-    return Engine(
+def _engine(state: ServerState, s_per_token: float) -> EngineLoad:
+    return EngineLoad(
         streams=state.requests,
         backlog_s=(state.own_tokens + state.others_tokens) * s_per_token,
-        reading_share=state.reading_share,
+        prefill_share=state.prefill_share,
         seen_late_share=state.seen_late_share,
     )
 
 
-def _disturbance(engine: Engine) -> float:
-    return (engine.streams + 1) * (engine.backlog_s + engine.reading_share + LONG_READING_S)
+def _disturbance(engine: EngineLoad) -> float:
+    return (engine.streams + 1) * (engine.backlog_s + engine.prefill_share + LONG_READING_S)
 
 
 def _is_in_the_way(state: ServerState, rank: Rank) -> bool:
--- a/src/pomelobarrow/decision/server_load.py
+++ b/src/pomelobarrow/decision/server_load.py
@@ -80,7 +80,7 @@
     @property
     def is_glimpsed(self) -> bool:
         """Say whether the newest word on its load came with an answer."""
-        return self.report is not None and self.report.is_glimpse
+        return self.report is not None and self.report.is_partial
 
     @property
     def peers_requests(self) -> int:
@@ -140,7 +140,7 @@
         self._unexplained.append(
             _Unexplained(
                 requests=report.running + report.waiting - requests,
-                tokens=0 if report.is_glimpse else report.queued_prefill_tokens - tokens,
+                tokens=0 if report.is_partial else report.queued_prefill_tokens - tokens,
                 peers=dict(peers),
             )
         )
--- a/src/pomelobarrow/decision/stream_pauses.py
+++ b/src/pomelobarrow/decision/stream_pauses.py
@@ -38,26 +38,26 @@
 
 
 @frozen(kw_only=True)
-class Engine:
+class EngineLoad:
     """Hold what is known of the streams and the reading at one engine."""
 
     streams: int = 0
     # Prompts that it has yet to read.
     backlog_s: float = 0.0
     # The share of its time that it spends reading.
-    reading_share: float = 0.0
+    prefill_share: float = 0.0
     # The share of its streams that are seen to be late.
     seen_late_share: float = 0.0
 
 
-def late_share(engine: Engine, gap_target_s: float) -> float:
+def late_share(engine: EngineLoad, gap_target_s: float) -> float:
     """Return the share of an engine's streams that are late."""
     return _late_share(
-        engine.backlog_s / gap_target_s, engine.reading_share, engine.seen_late_share
+        engine.backlog_s / gap_target_s, engine.prefill_share, engine.seen_late_share
     )
 
 
-def pause_cost_s(target: PauseTarget, engine: Engine, reading_s: float) -> float:
+def pause_cost_s(target: PauseTarget, engine: EngineLoad, reading_s: float) -> float:
     """Return what one more prompt costs the streams of an engine and itself, in seconds.
 
     What is late already can't be made late.
@@ -66,7 +66,7 @@
         return 0.0
     after = _late_share(
         (engine.backlog_s + reading_s) / target.gap_s,
-        engine.reading_share + reading_s / STREAM_S,
+        engine.prefill_share + reading_s / STREAM_S,
         engine.seen_late_share,
     )
     made_late = (after - late_share(engine, target.gap_s)) * engine.streams
@@ -74,9 +74,9 @@
     return (LATE_STREAM_COST * made_late + own) * target.first_answer_s
 
 
-def _late_share(backlog_share: float, reading_share: float, seen_late_share: float) -> float:
+def _late_share(backlog_share: float, prefill_share: float, seen_late_share: float) -> float:
     by_backlog = _ramp(backlog_share, HARMLESS_BACKLOG_SHARE, HARMFUL_BACKLOG_SHARE)
-    by_reading = _ramp(reading_share, HARMLESS_READING_SHARE, HARMFUL_READING_SHARE)
+    by_reading = _ramp(prefill_share, HARMLESS_READING_SHARE, HARMFUL_READING_SHARE)
     return max(by_backlog, by_reading, seen_late_share)
 
 
--- a/src/pomelobarrow/decision/work.py
+++ b/src/pomelobarrow/decision/work.py
@@ -50,7 +50,7 @@
     # name is another one: its cache is empty, and what was sent to it before is gone.
     born_unix_ms: int = 0
     # Its lease lapsed without a word that it leaves: gone, or the list's keeper was away.
-    is_lapsed: bool = False
+    is_lease_expired: bool = False
 
     @property
     def incarnation(self) -> str:
@@ -70,7 +70,7 @@
     queued_prefill_tokens: int = 0
     leaving: bool = False
     # Whether it came with an answer: it then tells the requests at one moment and no tokens.
-    is_glimpse: bool = False
+    is_partial: bool = False
 
 
 @frozen(kw_only=True)
--- a/src/pomelobarrow/dispatch/dispatcher.py
+++ b/src/pomelobarrow/dispatch/dispatcher.py
@@ -154,7 +154,7 @@
             return self.own_region
         choice = self.choose(work, tries.bad_regions)
         if choice.region is None and self._is_home_unheard(work, tries):
-            choice = RegionChoice(region=work.home_region, reason=RegionReason.HOME_IS_FIRST)
+            choice = RegionChoice(region=work.home_region, reason=RegionReason.HOME_IS_FASTEST)
         if choice.region is None:
             raise RefusedError(self._no_region(work, choice))
         if not tries.states:
--- a/src/pomelobarrow/dispatch/local.py
+++ b/src/pomelobarrow/dispatch/local.py
@@ -11,12 +11,12 @@
 from pomelobarrow.decision.admission import refuse_unservable
 from pomelobarrow.decision.attempt import Attempt, AttemptState
 from pomelobarrow.decision.configuration import Rank
-from pomelobarrow.decision.costs import OutputEstimate, prefill_tokens
 from pomelobarrow.decision.errors import Kind, Run
 from pomelobarrow.decision.load_table import LoadTable
 from pomelobarrow.decision.next_placement import ServerChooser, next_placement
 from pomelobarrow.decision.retries import MAX_RETRY_AFTER_S
 from pomelobarrow.decision.server_choice import choose_server
+from pomelobarrow.decision.token_estimates import OutputEstimate, prefill_tokens
 from pomelobarrow.decision.work import Placement, Work
 from pomelobarrow.decision.work_queue import WorkQueue
 from pomelobarrow.dispatch.answers import AnswerSink, AttemptResult
--- a/src/pomelobarrow/dispatch/named_limits.py
+++ b/src/pomelobarrow/dispatch/named_limits.py
@@ -17,5 +17,7 @@
 ) -> None:
     """Take in a server's limit, None where its answer names none, and report a change."""
     # The incarnation that it was sent to may be gone.
-    if table.is_current(server) and table.limits.observe(server.incarnation, per_s, now_unix_s()):
+    if table.is_current_incarnation(server) and table.limits.observe(
+        server.incarnation, per_s, now_unix_s()
+    ):
         observe(ServerLimitNamed(server=server.name, limit_per_s=per_s, header=header))
--- a/src/pomelobarrow/peers/heartbeats.py
+++ b/src/pomelobarrow/peers/heartbeats.py
@@ -92,7 +92,7 @@
         """Take over which peers of the region this VM exchanges heartbeats with."""
         self.neighbours = neighbours
         self.limits.set_region_vms(neighbours.region_vms)
-        self.local.table.reading.region_vms = neighbours.region_vms
+        self.local.table.prefill_rates.region_vms = neighbours.region_vms
 
     def brief(self, peer: str) -> pb.Heartbeat:
         """Return a heartbeat that only says who we are and how far we are."""
--- a/src/pomelobarrow/peers/pool_news.py
+++ b/src/pomelobarrow/peers/pool_news.py
@@ -8,8 +8,8 @@
 from pomelobarrow.decision.clocks import ClockOffsets
 from pomelobarrow.decision.configuration import Rank
 from pomelobarrow.decision.region_choice import RegionLoad
-from pomelobarrow.decision.server_choice import least_wait_s, quietest_engine
-from pomelobarrow.decision.stream_pauses import Engine
+from pomelobarrow.decision.server_choice import least_disturbed_engine, least_wait_s
+from pomelobarrow.decision.stream_pauses import EngineLoad
 from pomelobarrow.dispatch.local import LocalDispatch
 from pomelobarrow.peers import peers_pb2 as pb
 from pomelobarrow.peers.ages import age_ms, time_of
@@ -133,7 +133,7 @@
                 servers=load.servers,
                 age_ms=age_ms(load.measured_unix_s, now_unix_s),
                 round_trip_s=load.round_trip_s,
-                **_quietest_fields(load.quietest),
+                **_quietest_fields(load.least_disturbed),
             )
         )
 
@@ -148,10 +148,10 @@
             round_trip_s=best.round_trip_s if best is not None else each.round_trip_s,
             measured_unix_s=measured_unix_s,
             servers=each.servers,
-            quietest=Engine(
+            least_disturbed=EngineLoad(
                 streams=each.quiet_streams,
                 backlog_s=each.quiet_backlog_s,
-                reading_share=each.quiet_reading_share,
+                prefill_share=each.quiet_reading_share,
                 seen_late_share=each.quiet_late_share,
             ),
         )
@@ -176,7 +176,7 @@
             waiting_paying=waiting_paying,
             waiting_trial=queue.waiting(Rank.TRIAL),
             servers=self._servers_for_others(pool, now_unix_s),
-            **_quietest_fields(quietest_engine(table, pool, now_unix_s)),
+            **_quietest_fields(least_disturbed_engine(table, pool, now_unix_s)),
         )
 
     def _servers_for_others(self, pool: str, now_unix_s: float) -> int:
@@ -187,10 +187,10 @@
         return unlimited or min(1, len(servers))
 
 
-def _quietest_fields(engine: Engine) -> dict[str, Any]:
+def _quietest_fields(engine: EngineLoad) -> dict[str, Any]:
     return {
         "quiet_streams": engine.streams,
         "quiet_backlog_s": engine.backlog_s,
-        "quiet_reading_share": engine.reading_share,
+        "quiet_reading_share": engine.prefill_share,
         "quiet_late_share": engine.seen_late_share,
     }
--- a/src/pomelobarrow/peers/server_news.py
+++ b/src/pomelobarrow/peers/server_news.py
@@ -49,7 +49,7 @@
         """Add the counts and reports that are new to this peer."""
         self._write_counts(heartbeat, sent)
         self._write_limits(heartbeat, sent, now_unix_s)
-        for report in (*self.own_reports(), *self.table.glimpses(now_unix_s)):
+        for report in (*self.own_reports(), *self.table.partial_reports(now_unix_s)):
             self._write_report(heartbeat, sent, report, now_unix_s, is_passed_on=False)
         if passes_on(LinkKind.ROW, kind):
             self._drop_old_reports(now_unix_s)
@@ -129,7 +129,7 @@
                 queued_prefill_tokens=report.queued_prefill_tokens,
                 is_leaving=report.leaving,
                 is_passed_on=is_passed_on,
-                is_glimpse=report.is_glimpse,
+                is_glimpse=report.is_partial,
             )
         )
 
@@ -198,5 +198,5 @@
         kv_tokens_used=each.kv_tokens_used,
         queued_prefill_tokens=each.queued_prefill_tokens,
         leaving=each.is_leaving,
-        is_glimpse=each.is_glimpse,
+        is_partial=each.is_glimpse,
     )
--- a/src/pomelobarrow/peers/time_news.py
+++ b/src/pomelobarrow/peers/time_news.py
@@ -30,7 +30,7 @@
         """Add the pools of which this VM has seen more, or to which it sends prompts."""
         for pool, times in self.table.all_service_times():
             told = pb.PoolTimes(pool=pool)
-            told.reading_tokens_per_s = self.table.reading.own_per_s(pool, now_unix_s)
+            told.reading_tokens_per_s = self.table.prefill_rates.own_tokens_per_s(pool, now_unix_s)
             is_news = times.samples > sent.samples.get(pool, 0)
             if is_news and now_unix_s >= sent.next_unix_s.get(pool, 0.0):
                 sent.samples[pool] = times.samples
@@ -48,6 +48,6 @@
         for told in heartbeat.times:
             if not table.pool_servers(told.pool):
                 continue
-            table.reading.observe_peer(vm, told.pool, told.reading_tokens_per_s, now_unix_s)
+            table.prefill_rates.observe_peer(vm, told.pool, told.reading_tokens_per_s, now_unix_s)
             if told.sums:
                 table.service_times(told.pool).observe_peer(vm, told.sums)
--- a/src/pomelobarrow/published/vms.py
+++ b/src/pomelobarrow/published/vms.py
@@ -100,7 +100,7 @@
             return
         if self._values[key].get("leased"):
             until_unix_s = now_unix_s + LAPSED_KEPT_S
-            self._lapsed[key] = _Lapsed(evolve(server, is_lapsed=True), until_unix_s)
+            self._lapsed[key] = _Lapsed(evolve(server, is_lease_expired=True), until_unix_s)
 
     def _rebuild(self) -> None:
         parsed = self._parsed.values()
--- a/src/pomelobarrow/relay/course.py
+++ b/src/pomelobarrow/relay/course.py
@@ -2,7 +2,7 @@
 
 from attrs import define, field
 
-from pomelobarrow.decision.placement_request import Excluded
+from pomelobarrow.decision.placement_request import ExcludedTargets
 from pomelobarrow.decision.routing import Routing
 from pomelobarrow.relay.answer import ClientAnswer
 from pomelobarrow.relay.event_splitter import EventSplitter
@@ -19,7 +19,7 @@
     routing: Routing
     tries: Tries
     splitter: EventSplitter
-    excluded: Excluded = field(factory=Excluded)
+    excluded: ExcludedTargets = field(factory=ExcludedTargets)
     first_answer_unix_s: float | None = None
     # The longest time between two events so far.
     longest_pause_s: float = 0.0
--- a/src/pomelobarrow/relay/judging.py
+++ b/src/pomelobarrow/relay/judging.py
@@ -43,7 +43,7 @@
     ) -> None:
         """Take in how an attempt ended; a refusal says nothing against a server."""
         # The incarnation that it was sent to is gone; its successor has done nothing wrong.
-        if report.end is AttemptEnd.REFUSED or not self.table.is_current(server):
+        if report.end is AttemptEnd.REFUSED or not self.table.is_current_incarnation(server):
             return
         now = now_unix_s()
         if report.end in (AttemptEnd.PASSED_ON, AttemptEnd.ANSWERED):
@@ -65,15 +65,15 @@
 
     def _eject_outlier(self, server: BackendServer, detail: str, now_unix_s: float) -> None:
         names = (each.incarnation for each in self.table.pool_servers(server.pool))
-        verdict = self.outliers.verdict(server.incarnation, names)
-        if verdict:
+        outlier_reason = self.outliers.outlier_reason(server.incarnation, names)
+        if outlier_reason:
             self.outliers.forget(server.incarnation)
             self.table.eject(server.name, now_unix_s)
         is_news = server.incarnation not in self._ejected
         if is_news and self.table.is_ejected(server.name, now_unix_s):
             self._ejected.add(server.incarnation)
             self.observe(
-                ServerEjected(server=server.name, pool=server.pool, detail=verdict or detail)
+                ServerEjected(server=server.name, pool=server.pool, detail=outlier_reason or detail)
             )
 
 
--- a/src/pomelobarrow/relay/relay.py
+++ b/src/pomelobarrow/relay/relay.py
@@ -9,13 +9,13 @@
 
 from pomelobarrow.backends.sessions import BackendSessions
 from pomelobarrow.callers.problems import problem_body
-from pomelobarrow.decision.costs import prefill_tokens
 from pomelobarrow.decision.errors import Kind, Refusal, Run
 from pomelobarrow.decision.placement import Placer
-from pomelobarrow.decision.placement_request import Nowhere, OnPeer, OnServer
+from pomelobarrow.decision.placement_request import LocalPlacement, NoPlacement, PeerPlacement
 from pomelobarrow.decision.retry_line import RetryLine
 from pomelobarrow.decision.retry_share import RetryShare
 from pomelobarrow.decision.routing import Routing
+from pomelobarrow.decision.token_estimates import prefill_tokens
 from pomelobarrow.decision.turning_away import MIN_RETRY_AFTER_S, retry_at_unix_s
 from pomelobarrow.decision.work import BackendServer, LoadReport, Placement
 from pomelobarrow.dispatch.answers import CallerGoneError
@@ -114,9 +114,9 @@
             decision = self.placer.place(
                 course.request.for_placement, course.routing, course.excluded, now_unix_s()
             )
-            if isinstance(decision, Nowhere) and await self._wait_for_limit(course, decision):
+            if isinstance(decision, NoPlacement) and await self._wait_for_limit(course, decision):
                 continue
-            if isinstance(decision, Nowhere):
+            if isinstance(decision, NoPlacement):
                 course.tries.last_detail = course.tries.last_detail or decision.reason
                 course.nowhere_wait_s = decision.wait_s
                 self.log.nowhere(course, decision)
@@ -135,7 +135,7 @@
                 return Step.DONE
             return last_step(course.tries, course.sink.is_started)
 
-    async def _wait_for_limit(self, course: Course, decision: Nowhere) -> bool:
+    async def _wait_for_limit(self, course: Course, decision: NoPlacement) -> bool:
         """Wait until a server's own limit lets a request through, where that may be in time."""
         next_unix_s, now = decision.next_unix_s, now_unix_s()
         if next_unix_s is None or course.request.forwarded_by:
@@ -158,10 +158,12 @@
         live_vms = len(self.placer.members.live)
         return self.retries.take_repeat(course.request.work.pool, live_vms, now_unix_s())
 
-    async def _send(self, course: Course, decision: OnServer | OnPeer) -> AttemptReport:
+    async def _send(
+        self, course: Course, decision: LocalPlacement | PeerPlacement
+    ) -> AttemptReport:
         course.tries.attempts += 1
         self.log.placed(course, decision)
-        if isinstance(decision, OnServer):
+        if isinstance(decision, LocalPlacement):
             return await self._send_to_server(course, decision.placement)
         return await self._send_to_peer(course, decision)
 
@@ -172,7 +174,7 @@
         kv_tokens = tokens + work.expected_output_tokens
         if not course.tries.was_sent:
             self.retries.note_first(work.pool, now)
-        self.placer.note_placed(server, now)
+        self.placer.record_placement(server, now)
         table.prefixes.observe_placement(server.name, work.prefix_hashes)
         table.charge(work.request_id, server.name, tokens, now, kv_tokens)
         order = ServerOrder(
@@ -220,7 +222,7 @@
         if head.ended_server_key is not None:
             self.guard.note_crash(request.fingerprint, head.ended_server_key)
 
-    async def _send_to_peer(self, course: Course, decision: OnPeer) -> AttemptReport:
+    async def _send_to_peer(self, course: Course, decision: PeerPlacement) -> AttemptReport:
         target = peer_target(
             decision.member,
             self.hop_port,
@@ -243,7 +245,7 @@
         return report
 
     @staticmethod
-    def _exclude_place(course: Course, decision: OnPeer) -> None:
+    def _exclude_place(course: Course, decision: PeerPlacement) -> None:
         """Leave out the server of a coordinator that refused, else the peer's region."""
         if decision.server:
             course.excluded.servers.add(decision.server)
@@ -273,7 +275,7 @@
         table = self.placer.table
         note_named_limit(table, server, head.limit_per_s, head.limit_header, self.observe)
         # The incarnation that it was sent to may be gone.
-        if head.counts is None or not table.is_current(server):
+        if head.counts is None or not table.is_current_incarnation(server):
             return
         now = now_unix_s()
         glimpse = LoadReport(
@@ -281,9 +283,9 @@
             measured_unix_s=now,
             running=head.counts.running,
             waiting=head.counts.waiting,
-            is_glimpse=True,
+            is_partial=True,
         )
-        table.observe_glimpse(glimpse, now)
+        table.observe_partial_report(glimpse, now)
 
     def _pause_watch(self, course: Course, server: str) -> Callable[[float], None]:
         """Return what learns from the pauses of a stream."""
--- a/src/pomelobarrow/relay/relay_log.py
+++ b/src/pomelobarrow/relay/relay_log.py
@@ -6,7 +6,7 @@
 
 from pomelobarrow.decision.fingerprint import readable
 from pomelobarrow.decision.load_table import LoadTable
-from pomelobarrow.decision.placement_request import Nowhere, OnPeer, OnServer
+from pomelobarrow.decision.placement_request import LocalPlacement, NoPlacement, PeerPlacement
 from pomelobarrow.decision.region_choice import RegionLoad
 from pomelobarrow.kernel.clock import now_unix_s
 from pomelobarrow.relay.attempt import Target
@@ -29,10 +29,10 @@
     region_loads: Callable[[str], Mapping[str, RegionLoad]]
     observe: Callable[[object], None]
 
-    def placed(self, course: Course, decision: OnServer | OnPeer) -> None:
+    def placed(self, course: Course, decision: LocalPlacement | PeerPlacement) -> None:
         """Report where a request is sent."""
         work, table = course.request.work, self.table
-        if isinstance(decision, OnServer):
+        if isinstance(decision, LocalPlacement):
             target, region = decision.placement.server.name, self.own_region
             expected_s = decision.placement.expected_wait_s
             cached_tokens = decision.placement.cached_tokens
@@ -61,7 +61,7 @@
             )
         )
 
-    def nowhere(self, course: Course, decision: Nowhere) -> None:
+    def nowhere(self, course: Course, decision: NoPlacement) -> None:
         """Report that nobody may get a request now."""
         work, table, now = course.request.work, self.table, now_unix_s()
         listed = table.pool_servers(work.pool)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -8,11 +8,15 @@
 
 from pomelobarrow.decision.admission import admit
 from pomelobarrow.decision.configuration import Rank
-from pomelobarrow.decision.costs import OutputEstimate, estimate_prompt_tokens, prefix_hashes
 from pomelobarrow.decision.errors import Kind, Refusal, Run
 from pomelobarrow.decision.limits import AccountLimits
 from pomelobarrow.decision.pool_wait import expected_wait_s
 from pomelobarrow.decision.service_times import DEFAULT_PREFILL_TOKENS_PER_S
+from pomelobarrow.decision.token_estimates import (
+    OutputEstimate,
+    estimate_prompt_tokens,
+    prefix_hashes,
+)
 from pomelobarrow.decision.work import Work
 from pomelobarrow.decision.work_queue import MAX_WAITING, WorkQueue
 
--- a/tests/test_load_table.py
+++ b/tests/test_load_table.py
@@ -146,7 +146,7 @@
     VM fills it up at the same time.
     """
     table = table_of(1)
-    table.reading.region_vms = 9
+    table.prefill_rates.region_vms = 9
     for number in range(4):
         table.observe_peer(f"vm-{number}", {"s1": InFlight(requests=2, tokens=500)}, 1.0)
     table.charge("r1", "s1", 100, 1.0)
@@ -162,7 +162,7 @@
     in a moment, just because its coordinator is among the neighbours.
     """
     table = table_of(1)
-    table.reading.region_vms = 9
+    table.prefill_rates.region_vms = 9
     table.is_coordinated = True
     for number in range(4):
         table.observe_peer(f"vm-{number}", {"s1": InFlight(requests=2, tokens=500)}, 1.0)
@@ -172,7 +172,7 @@
 
 def test_reports_tell_of_vms_that_are_not_heard() -> None:
     table = table_of(1)
-    table.reading.region_vms = 9
+    table.prefill_rates.region_vms = 9
     table.observe_peer("vm-2", {"s1": InFlight(requests=2)}, 1.0)
     table.observe_report(report("s1", 1.1, running=7), 1.5)
     assert requests(table, 1.5) == 7
@@ -181,14 +181,14 @@
 def glimpse(at_unix_s: float, running: int, waiting: int = 0) -> LoadReport:
     """Return what server s1 told with an answer."""
     return LoadReport(
-        server="s1", measured_unix_s=at_unix_s, running=running, waiting=waiting, is_glimpse=True
+        server="s1", measured_unix_s=at_unix_s, running=running, waiting=waiting, is_partial=True
     )
 
 
 def in_region_of(vms: int, heard: int, hold_s: float = 2.0) -> LoadTable:
     """Return the table of a VM that hears some of its region's, each with one request on s1."""
     table = table_of(1)
-    table.reading.region_vms = vms
+    table.prefill_rates.region_vms = vms
     for number in range(heard):
         table.observe_peer(f"vm-{number}", {"s1": InFlight(requests=1)}, 1.0)
     for _ in range(500):
@@ -206,7 +206,7 @@
     table = in_region_of(65, heard=14)
     assert requests(table, 1.0) > 50
 
-    table.observe_glimpse(glimpse(1.0, running=12), 1.0)
+    table.observe_partial_report(glimpse(1.0, running=12), 1.0)
 
     assert requests(table, 1.0) == 12
 
@@ -214,7 +214,7 @@
 def test_an_old_glimpse_counts_less_than_what_is_heard() -> None:
     table = in_region_of(65, heard=14, hold_s=0.02)
     heard = requests(table, 1.0)
-    table.observe_glimpse(glimpse(1.0, running=2), 1.0)
+    table.observe_partial_report(glimpse(1.0, running=2), 1.0)
 
     assert requests(table, 1.5) == heard
 
@@ -222,7 +222,7 @@
 def test_a_glimpse_leaves_out_what_this_vm_has_placed_since() -> None:
     table = table_of(1)
     table.charge("r1", "s1", 100, 0.5)
-    table.observe_glimpse(glimpse(1.0, running=3), 1.0)
+    table.observe_partial_report(glimpse(1.0, running=3), 1.0)
     table.charge("r2", "s1", 100, 1.1)
 
     assert requests(table, 1.1) == 4
@@ -231,7 +231,7 @@
 def test_a_glimpse_says_nothing_of_prompts() -> None:
     table = table_of(1)
     table.observe_peer("vm-2", {"s1": InFlight(requests=2, tokens=9_000)}, 1.0)
-    table.observe_glimpse(glimpse(1.1, running=2), 1.1)
+    table.observe_partial_report(glimpse(1.1, running=2), 1.1)
 
     [state] = table.usable(POOL, 1.1)
     assert state.others_tokens == 9_000
@@ -240,7 +240,7 @@
 def test_peers_are_told_of_fresh_glimpses_only() -> None:
     table = table_of(1)
     told = glimpse(1.0, running=2)
-    table.observe_glimpse(told, 1.0)
+    table.observe_partial_report(told, 1.0)
 
-    assert table.glimpses(2.0) == [told]
-    assert table.glimpses(4.0) == []
+    assert table.partial_reports(2.0) == [told]
+    assert table.partial_reports(4.0) == []
--- a/tests/test_outliers.py
+++ b/tests/test_outliers.py
@@ -22,31 +22,31 @@
     its clients fails.
     """
     found = detector(a=(0.4, 1.0), b=(0.04, 1.0), c=(0.04, 1.0))
-    assert [found.verdict(name, POOL) for name in POOL] == [FAILS, "", ""]
+    assert [found.outlier_reason(name, POOL) for name in POOL] == [FAILS, "", ""]
 
 
 def test_slow_server_is_found() -> None:
     found = detector(a=(0.0, 8.0), b=(0.0, 1.0), c=(0.0, 1.2))
-    assert [found.verdict(name, POOL) for name in POOL] == [DAWDLES, "", ""]
+    assert [found.outlier_reason(name, POOL) for name in POOL] == [DAWDLES, "", ""]
 
 
 def test_failures_that_all_servers_share_make_no_outlier() -> None:
     found = detector(a=(0.45, 1.0), b=(0.4, 1.0), c=(0.4, 1.0))
-    assert [found.verdict(name, POOL) for name in POOL] == ["", "", ""]
+    assert [found.outlier_reason(name, POOL) for name in POOL] == ["", "", ""]
 
 
 def test_only_server_is_no_outlier() -> None:
-    assert detector(a=(1.0, 9.0)).verdict("a", ("a",)) == ""
+    assert detector(a=(1.0, 9.0)).outlier_reason("a", ("a",)) == ""
 
 
 def test_few_answers_say_nothing() -> None:
     found = detector(b=(0.0, 1.0), c=(0.0, 1.0))
     for _ in range(MIN_SAMPLES - 1):
         found.observe("a", True, None)
-    assert found.verdict("a", POOL) == ""
+    assert found.outlier_reason("a", POOL) == ""
 
 
 def test_forgotten_server_proves_itself_anew() -> None:
     found = detector(a=(0.9, 1.0), b=(0.0, 1.0), c=(0.0, 1.0))
     found.forget("a")
-    assert found.verdict("a", POOL) == ""
+    assert found.outlier_reason("a", POOL) == ""
--- a/tests/test_reading_rates.py
+++ b/tests/test_prefill_rates.py
@@ -2,21 +2,21 @@
 
 import pytest
 
-from pomelobarrow.decision.reading_rates import ReadingRates
+from pomelobarrow.decision.prefill_rates import PrefillRates
 
 S_PER_TOKEN = 1e-5
 
 
-def sent(vms: int) -> ReadingRates:
+def sent(vms: int) -> PrefillRates:
     """Return what was sent for ten seconds: 9,000 tokens a second to s1, 1,000 to s2."""
-    rates = ReadingRates(region_vms=vms)
+    rates = PrefillRates(region_vms=vms)
     for tick in range(1_000):
         rates.add("s1", "p", 90, tick * 0.01)
         rates.add("s2", "p", 10, tick * 0.01)
     return rates
 
 
-def share(rates: ReadingRates, server: str) -> float:
+def share(rates: PrefillRates, server: str) -> float:
     of_pool = rates.share_of_pool("p", 2, S_PER_TOKEN, 10.0)
     return rates.share(server, of_pool, S_PER_TOKEN, 10.0)
 
@@ -41,9 +41,9 @@
     assert rates.share_of_pool("p", 2, S_PER_TOKEN, 10.0) > 0.0
 
 
-def region_of_65(own_tokens: int, neighbours_tokens: int) -> ReadingRates:
+def region_of_65(own_tokens: int, neighbours_tokens: int) -> PrefillRates:
     """Return one VM's rates: it and 14 neighbours of 64 have each just sent a prompt or none."""
-    rates = ReadingRates(region_vms=65)
+    rates = PrefillRates(region_vms=65)
     if own_tokens:
         rates.add("s1", "p", own_tokens, 10.0)
     told = sent_once(neighbours_tokens)
@@ -53,9 +53,9 @@
 
 
 def sent_once(tokens: int) -> float:
-    rates = ReadingRates()
+    rates = PrefillRates()
     rates.add("s1", "p", tokens, 10.0)
-    return rates.own_per_s("p", 10.0)
+    return rates.own_tokens_per_s("p", 10.0)
 
 
 def test_one_prompt_of_a_vm_among_many_does_not_make_its_region_look_busy() -> None:
@@ -64,7 +64,7 @@
     A VM of the idle region has just sent a long prompt. Taken for what each of the 65 VMs sends, it
     makes the engines look to read five times as much as they can, and the others are told so.
     """
-    alone = ReadingRates(region_vms=65)
+    alone = PrefillRates(region_vms=65)
     alone.add("s1", "p", 30_000, 10.0)
     assert alone.share_of_pool("p", 8, S_PER_TOKEN, 10.0) > 1.0
 
@@ -80,7 +80,7 @@
 
 
 def test_where_all_are_heard_the_rates_are_added_up() -> None:
-    rates = ReadingRates(region_vms=3)
+    rates = PrefillRates(region_vms=3)
     for vm in ("vm-2", "vm-3"):
         rates.observe_peer(vm, "p", 1_000.0, 10.0)
 
@@ -88,7 +88,7 @@
 
 
 def test_what_a_neighbour_told_fades_and_goes_with_it() -> None:
-    rates = ReadingRates(region_vms=2)
+    rates = PrefillRates(region_vms=2)
     rates.observe_peer("vm-2", "p", 1_000.0, 10.0)
     assert rates.share_of_pool("p", 1, S_PER_TOKEN, 40.0) < 1e-6
     rates.forget_peer("vm-2")
@@ -98,7 +98,7 @@
 
 @pytest.mark.parametrize("wrong", [float("nan"), float("inf"), -1.0])
 def test_a_rate_that_makes_no_sense_is_left_out(wrong: float) -> None:
-    rates = ReadingRates(region_vms=2)
+    rates = PrefillRates(region_vms=2)
     rates.observe_peer("vm-2", "p", wrong, 10.0)
 
     assert rates.share_of_pool("p", 1, S_PER_TOKEN, 10.0) == 0.0
--- a/tests/test_proof_isolation.py
+++ b/tests/test_proof_isolation.py
@@ -22,7 +22,7 @@
 )
 
 from harness.fleet import Fleet
-from pomelobarrow.decision.region_choice import LOAD_GOOD_FOR_S
+from pomelobarrow.decision.region_choice import MAX_LOAD_AGE_S
 from pomelobarrow.peers.region_loads import LOST_AFTER_S
 
 pytestmark = pytest.mark.proof
@@ -174,7 +174,7 @@
     await cut_region(fleet, CUT)
     # A shorter silence counts as none, so the cut has to last.
     cut_s = time.monotonic()
-    await wait_until(lambda: _has_lasted(cut_s, LOST_AFTER_S + LOAD_GOOD_FOR_S))
+    await wait_until(lambda: _has_lasted(cut_s, LOST_AFTER_S + MAX_LOAD_AGE_S))
     outside = [
         await ask(fleet, "turin-1", ACCOUNT, "changelog-note") for _ in range(SERVED_OUTSIDE)
     ]
--- a/tests/test_region_choice.py
+++ b/tests/test_region_choice.py
@@ -72,7 +72,7 @@
 
 def test_a_cold_cache_elsewhere_counts() -> None:
     choice = choose(work(), load(wait_s=20.0), load("warsaw", cold_prefill_s=9.5))
-    assert choice == RegionChoice(region=REGION, reason=RegionReason.HOME_IS_FIRST)
+    assert choice == RegionChoice(region=REGION, reason=RegionReason.HOME_IS_FASTEST)
 
 
 def test_spilled_work_spreads_over_the_regions_in_time() -> None:
--- a/tests/test_region_cost.py
+++ b/tests/test_region_cost.py
@@ -5,7 +5,7 @@
 
 from pomelobarrow.decision.region_choice import RegionLoad
 from pomelobarrow.decision.region_cost import UNKNOWN_ROUND_TRIP_S, Reading, region_cost
-from pomelobarrow.decision.stream_pauses import Engine, PauseTarget, pause_cost_s
+from pomelobarrow.decision.stream_pauses import EngineLoad, PauseTarget, pause_cost_s
 
 NOW = 1_000.0
 READING = Reading(prompt_s=0.1, target=PauseTarget(gap_s=0.4, first_answer_s=1.0))
@@ -17,7 +17,7 @@
     measured_unix_s=NOW,
     servers=2,
 )
-BUSY = Engine(streams=50, backlog_s=0.25, reading_share=0.5)
+BUSY = EngineLoad(streams=50, backlog_s=0.25, prefill_share=0.5)
 
 
 def test_first_answer_takes_wait_connection_trip_and_reading() -> None:
@@ -25,7 +25,7 @@
 
 
 def test_busy_streams_cost_beyond_the_own_first_answer() -> None:
-    busy = evolve(LOAD, quietest=BUSY)
+    busy = evolve(LOAD, least_disturbed=BUSY)
     quiet_cost, busy_cost = region_cost(LOAD, READING, NOW), region_cost(busy, READING, NOW)
     assert busy_cost.first_answer_s == quiet_cost.first_answer_s
     pause_s = pause_cost_s(READING.target, BUSY, READING.prompt_s)
@@ -34,7 +34,7 @@
 
 
 def test_old_news_counts_for_nothing() -> None:
-    old = evolve(LOAD, quietest=BUSY, measured_unix_s=NOW - 60.0)
+    old = evolve(LOAD, least_disturbed=BUSY, measured_unix_s=NOW - 60.0)
     cost = region_cost(old, READING, NOW)
     assert abs(cost.first_answer_s - 0.32) < 1e-9
 
--- a/tests/test_relay_placement.py
+++ b/tests/test_relay_placement.py
@@ -13,16 +13,16 @@
 from pomelobarrow.decision.peer_reach import FIRST_PAUSE_S
 from pomelobarrow.decision.placement import Placer
 from pomelobarrow.decision.placement_request import (
-    ALL_BEHIND,
-    COORDINATED,
-    HERE_IS_LATE,
-    HOME_ELSEWHERE,
-    NOTHING_HERE,
+    ALL_SERVERS_LATE,
+    BOUND_TO_OTHER_REGIONS,
+    COORDINATED_BY_PEER,
+    LOCAL_REGION_LATE,
+    NO_LOCAL_SERVER,
     WARM_ELSEWHERE,
-    Excluded,
-    Nowhere,
-    OnPeer,
-    OnServer,
+    ExcludedTargets,
+    LocalPlacement,
+    NoPlacement,
+    PeerPlacement,
 )
 from pomelobarrow.decision.region_choice import RegionLoad
 from pomelobarrow.decision.routing import RelayPool, Route, RouteKind, Routing
@@ -104,8 +104,8 @@
     return RelayRequest(**{**fields, **more})  # type: ignore[arg-type]
 
 
-def place(by: Placer, what: RelayRequest) -> OnServer | OnPeer | Nowhere:
-    return by.place(what.for_placement, ROUTING, Excluded(), NOW)
+def place(by: Placer, what: RelayRequest) -> LocalPlacement | PeerPlacement | NoPlacement:
+    return by.place(what.for_placement, ROUTING, ExcludedTargets(), NOW)
 
 
 def load(by: Placer, name: str, tokens: int) -> None:
@@ -118,7 +118,7 @@
 
 def test_free_server_here_is_taken() -> None:
     decision = place(placer(server("s1", "a"), server("s2", "b")), request())
-    assert isinstance(decision, OnServer)
+    assert isinstance(decision, LocalPlacement)
     assert decision.placement.server.name == "s1"
 
 
@@ -126,41 +126,41 @@
     by = placer(server("s1", "a"), waits_s={"b": 0.0})
     load(by, "s1", 60_000)
     decision = place(by, request())
-    assert isinstance(decision, OnPeer)
-    assert (decision.member.vm, decision.reason) == ("vm-b", HERE_IS_LATE)
+    assert isinstance(decision, PeerPlacement)
+    assert (decision.member.vm, decision.reason) == ("vm-b", LOCAL_REGION_LATE)
 
 
 def test_late_region_is_kept_while_the_others_are_later() -> None:
     by = placer(server("s1", "a"), waits_s={"b": 5.0})
     load(by, "s1", 60_000)
-    assert isinstance(place(by, request()), OnServer)
+    assert isinstance(place(by, request()), LocalPlacement)
 
 
 def test_work_bound_to_other_regions_goes_there() -> None:
     bound = evolve(STREAM, home_regions=("c",))
     decision = place(placer(server("s1", "a")), request(bound))
-    assert isinstance(decision, OnPeer)
-    assert (decision.member.vm, decision.reason) == ("vm-c", HOME_ELSEWHERE)
+    assert isinstance(decision, PeerPlacement)
+    assert (decision.member.vm, decision.reason) == ("vm-c", BOUND_TO_OTHER_REGIONS)
 
 
 def test_work_bound_to_an_unreachable_region_is_refused_and_runs_nowhere_else() -> None:
     bound = evolve(STREAM, home_regions=("c",))
     decision = place(placer(server("s1", "a"), waits_s={"b": 0.0}), request(bound))
-    assert decision == Nowhere(reason=NOTHING_HERE)
+    assert decision == NoPlacement(reason=NO_LOCAL_SERVER)
 
 
 def test_forwarded_request_is_never_passed_on() -> None:
     """Two VMs each believe that the other region is earlier."""
     by = placer(server("s1", "a"), waits_s={"b": 0.0})
     load(by, "s1", 60_000)
-    assert isinstance(place(by, request(forwarded_by="vm-b")), OnServer)
-    assert place(placer(), request(forwarded_by="vm-b")) == Nowhere(reason=NOTHING_HERE)
+    assert isinstance(place(by, request(forwarded_by="vm-b")), LocalPlacement)
+    assert place(placer(), request(forwarded_by="vm-b")) == NoPlacement(reason=NO_LOCAL_SERVER)
 
 
 def test_long_shared_prompt_goes_to_the_region_that_keeps_it_warm() -> None:
     by = placer(server("s1", "b"), server("s2", "b"))
     decision = place(by, request(shared=13_312))
-    assert isinstance(decision, OnPeer)
+    assert isinstance(decision, PeerPlacement)
     assert (decision.member.vm, decision.reason) == ("vm-b", WARM_ELSEWHERE)
 
 
@@ -168,7 +168,7 @@
     by = placer(server("s0", "a"), server("s1", "b"), server("s2", "b"), server("s3", "b"))
     what = request(shared=13_312)
     by.table.prefixes.observe_placement("s0", what.work.prefix_hashes)
-    assert isinstance(place(by, what), OnServer)
+    assert isinstance(place(by, what), LocalPlacement)
 
 
 def test_warm_prompt_is_not_read_elsewhere_to_gain_little() -> None:
@@ -185,12 +185,12 @@
         by.table.prefixes.observe_placement("s1", what.work.prefix_hashes)
         load(by, "s1", queue_tokens)
         taken.append(type(place(by, what)))
-    assert taken == [OnServer, OnPeer]
+    assert taken == [LocalPlacement, PeerPlacement]
 
 
 def test_owner_that_is_behind_is_not_waited_for() -> None:
     by = placer(server("s0", "a"), server("s1", "b"), server("s2", "b"), waits_s={"b": 0.9})
-    assert isinstance(place(by, request(shared=13_312)), OnServer)
+    assert isinstance(place(by, request(shared=13_312)), LocalPlacement)
 
 
 @pytest.mark.parametrize("own_tokens", [300, 4_000])
@@ -203,14 +203,14 @@
     by = placer(server("s1", "a"), waits_s={"b": 3.0})
     load(by, "s1", 250_000)
     refused = place(by, request(evolve(STREAM, silence_patience_s=3.2), own=own_tokens))
-    assert isinstance(refused, Nowhere)
-    assert (refused.reason, refused.wait_s > 2.0) == (ALL_BEHIND, True)
+    assert isinstance(refused, NoPlacement)
+    assert (refused.reason, refused.wait_s > 2.0) == (ALL_SERVERS_LATE, True)
 
 
 def test_whole_answer_goes_also_where_every_server_is_behind() -> None:
     by = placer(server("s1", "a"), waits_s={"b": 3.0})
     load(by, "s1", 250_000)
-    assert isinstance(place(by, request(route(RouteKind.IDEMPOTENT), own=0)), OnServer)
+    assert isinstance(place(by, request(route(RouteKind.IDEMPOTENT), own=0)), LocalPlacement)
 
 
 def test_caller_that_comes_back_is_taken_while_it_would_wait() -> None:
@@ -221,9 +221,9 @@
     back = request(patient)
     left_s = patient.timeout_s / 2.0
     back = evolve(back, work=evolve(back.work, deadline_unix_s=NOW + left_s))
-    assert isinstance(place(by, back), OnServer)
+    assert isinstance(place(by, back), LocalPlacement)
     load(by, "s1", 350_000)
-    assert isinstance(place(by, back), Nowhere)
+    assert isinstance(place(by, back), NoPlacement)
 
 
 def test_long_prompt_leaves_the_streams_of_its_region_alone() -> None:
@@ -239,11 +239,11 @@
     what = request(own=9_000)
     what = evolve(what, work=evolve(what.work, gap_target_s=0.4))
     moved = place(by, what)
-    assert isinstance(moved, OnPeer)
-    assert (moved.member.vm, moved.reason) == ("vm-b", HERE_IS_LATE)
+    assert isinstance(moved, PeerPlacement)
+    assert (moved.member.vm, moved.reason) == ("vm-b", LOCAL_REGION_LATE)
     without_streams = placer(server("s1", "a", slots=128), waits_s={"b": 0.0})
     load(without_streams, "s1", 1)
-    assert isinstance(place(without_streams, what), OnServer)
+    assert isinstance(place(without_streams, what), LocalPlacement)
 
 
 def test_group_that_was_sent_elsewhere_counts_as_warm_there() -> None:
@@ -251,33 +251,35 @@
     by._remote.sent_groups.note("ab", "b", NOW)
     load(by, "s0", 90_000)
     decision = place(by, request(shared=13_312))
-    assert isinstance(decision, OnPeer)
+    assert isinstance(decision, PeerPlacement)
     assert (decision.member.vm, decision.reason) == ("vm-b", WARM_ELSEWHERE)
 
 
 def test_cold_server_gets_few_requests() -> None:
     by = placer(server("s1", "a", cold_until_unix_s=NOW + 3.0), waits_s={})
     first = place(by, request())
-    assert isinstance(first, OnServer)
-    by.note_placed(first.placement.server, NOW)
-    assert place(by, request()) == Nowhere(reason=NOTHING_HERE)
+    assert isinstance(first, LocalPlacement)
+    by.record_placement(first.placement.server, NOW)
+    assert place(by, request()) == NoPlacement(reason=NO_LOCAL_SERVER)
 
 
 def test_closed_domain_gets_nothing() -> None:
     by = placer(server("s1", "a"), waits_s={})
     by.table.closed_domains = frozenset({"a-1"})
-    assert place(by, request()) == Nowhere(reason=NOTHING_HERE)
+    assert place(by, request()) == NoPlacement(reason=NO_LOCAL_SERVER)
 
 
 def test_lapsed_server_goes_last() -> None:
-    by = placer(server("s1", "a", is_lapsed=True), server("s2", "a"), waits_s={})
+    by = placer(server("s1", "a", is_lease_expired=True), server("s2", "a"), waits_s={})
     names = set()
     for _ in range(20):
         decision = place(by, request())
-        assert isinstance(decision, OnServer)
+        assert isinstance(decision, LocalPlacement)
         names.add(decision.placement.server.name)
     assert names == {"s2"}
-    assert isinstance(place(placer(server("s1", "a", is_lapsed=True)), request()), OnServer)
+    assert isinstance(
+        place(placer(server("s1", "a", is_lease_expired=True)), request()), LocalPlacement
+    )
 
 
 def test_free_server_of_the_own_failure_domain_goes_first() -> None:
@@ -285,7 +287,7 @@
     chosen = set()
     for _ in range(20):
         decision = place(placer(server("s1", "a"), far), request())
-        assert isinstance(decision, OnServer)
+        assert isinstance(decision, LocalPlacement)
         chosen.add(decision.placement.server.name)
     assert chosen == {"s1"}
 
@@ -294,7 +296,7 @@
     by = placer(server("s1", "a"), server("s2", "a", failure_domain="a-2"), waits_s={})
     load(by, "s1", 50_000)
     decision = place(by, request())
-    assert isinstance(decision, OnServer)
+    assert isinstance(decision, LocalPlacement)
     assert decision.placement.server.name == "s2"
 
 
@@ -310,9 +312,11 @@
     targets = {place(by, request(bound)).member.vm for _ in range(20)}  # type: ignore[union-attr]
     assert targets == {"vm-c"}
     by.members.note_unreached("vm-c", NOW)
-    assert place(by, request(bound)) == Nowhere(reason=NOTHING_HERE)
-    later = by.place(request(bound).for_placement, ROUTING, Excluded(), NOW + FIRST_PAUSE_S + 0.01)
-    assert isinstance(later, OnPeer)
+    assert place(by, request(bound)) == NoPlacement(reason=NO_LOCAL_SERVER)
+    later = by.place(
+        request(bound).for_placement, ROUTING, ExcludedTargets(), NOW + FIRST_PAUSE_S + 0.01
+    )
+    assert isinstance(later, PeerPlacement)
 
 
 def test_peer_beside_the_groups_server_gets_its_prompts() -> None:
@@ -321,7 +325,7 @@
     by.members.view.observe_heartbeat(beside, NOW)
     for _ in range(10):
         decision = place(by, request(shared=13_312))
-        assert isinstance(decision, OnPeer)
+        assert isinstance(decision, PeerPlacement)
         assert decision.member.vm == "vm-b2"
 
 
@@ -340,19 +344,19 @@
             member = Member(vm=f"vm-{other}", incarnation=1, region="a", sequence=1)
             by.members.view.observe_heartbeat(member, NOW)
         decision = place(by, request(shared=13_312))
-        is_here = isinstance(decision, OnServer)
+        is_here = isinstance(decision, LocalPlacement)
         chosen.add(f"vm-{own}" if is_here else decision.member.vm)  # type: ignore[union-attr]
-        assert is_here or decision.reason == COORDINATED  # type: ignore[union-attr]
+        assert is_here or decision.reason == COORDINATED_BY_PEER  # type: ignore[union-attr]
     assert len(chosen) == 1
 
 
 def test_prompt_turned_back_goes_to_the_groups_second_server() -> None:
     by = placer(server("s1", "b"), server("s2", "c"))
     asked = []
-    excluded = Excluded()
+    excluded = ExcludedTargets()
     for _ in range(2):
         decision = by.place(request(shared=13_312).for_placement, ROUTING, excluded, NOW)
-        assert isinstance(decision, OnPeer)
+        assert isinstance(decision, PeerPlacement)
         asked.append((decision.server, decision.member.vm))
         excluded.servers.add(decision.server)
     assert sorted(asked) == [("s1", "vm-b"), ("s2", "vm-c")]
@@ -363,10 +367,10 @@
     other = Member(vm="vm-b2", incarnation=1, region="b", sequence=1)
     by.members.view.observe_heartbeat(other, NOW)
     first = place(by, request(shared=13_312))
-    assert isinstance(first, OnPeer)
-    excluded = Excluded(peers={first.member.vm})
+    assert isinstance(first, PeerPlacement)
+    excluded = ExcludedTargets(peers={first.member.vm})
     second = by.place(request(shared=13_312).for_placement, ROUTING, excluded, NOW)
-    assert isinstance(second, OnPeer)
+    assert isinstance(second, PeerPlacement)
     assert {first.member.vm, second.member.vm} == {"vm-b", "vm-b2"}
 
 
@@ -384,6 +388,6 @@
             PromptPart(id="own", tokens=300),
         )
         decision = place(by, evolve(what, head=evolve(what.head, prompt_parts=parts)))
-        assert isinstance(decision, OnPeer)
+        assert isinstance(decision, PeerPlacement)
         regions.add(decision.member.region)
     assert regions == {"b", "c"}
--- a/tests/test_stream_pauses.py
+++ b/tests/test_stream_pauses.py
@@ -6,14 +6,14 @@
 from pomelobarrow.decision.stream_pauses import (
     LATE_STREAM_COST,
     SEEN_LATE_COST,
-    Engine,
+    EngineLoad,
     PauseTarget,
     late_share,
     pause_cost_s,
 )
 
 TARGET = PauseTarget(gap_s=0.4, first_answer_s=1.0)
-QUIET = Engine(streams=40, backlog_s=0.05, reading_share=0.1)
+QUIET = EngineLoad(streams=40, backlog_s=0.05, prefill_share=0.1)
 
 
 @pytest.mark.parametrize(
@@ -21,11 +21,11 @@
     [
         (QUIET, 0.0),
         (evolve(QUIET, backlog_s=0.4), 1.0),
-        (evolve(QUIET, reading_share=0.9), 1.0),
+        (evolve(QUIET, prefill_share=0.9), 1.0),
         (evolve(QUIET, seen_late_share=0.7), 0.7),
     ],
 )
-def test_streams_are_late_by_backlog_reading_or_sight(engine: Engine, share: float) -> None:
+def test_streams_are_late_by_backlog_reading_or_sight(engine: EngineLoad, share: float) -> None:
     assert late_share(engine, TARGET.gap_s) == pytest.approx(share)
 
 
--- a/tests/test_vm_list.py
+++ b/tests/test_vm_list.py
@@ -25,7 +25,7 @@
     vms = VmList()
     vms.update({"vms/s1": VALUE}, 100.0)
     vms.update({}, 101.0)
-    assert vms.servers["s1"].is_lapsed
+    assert vms.servers["s1"].is_lease_expired
     assert not vms.drop_lapsed(101.0 + LAPSED_KEPT_S / 2)
     assert vms.drop_lapsed(101.0 + LAPSED_KEPT_S)
     assert vms.servers == {}
@@ -36,7 +36,7 @@
     vms.update({"vms/s1": VALUE}, 100.0)
     vms.update({}, 101.0)
     vms.update({"vms/s1": dict(VALUE)}, 102.0)
-    assert not vms.servers["s1"].is_lapsed
+    assert not vms.servers["s1"].is_lease_expired
     assert not vms.drop_lapsed(200.0)
 
 
