--- a/src/pomelobarrow/decision/group_servers.py
+++ b/src/pomelobarrow/decision/group_servers.py
@@ -1,4 +1,4 @@
-"""Remember which servers a prompt group hashes to."""
+"""Memoize which servers a prompt group hashes to."""
 
 from collections.abc import Sequence
 
@@ -7,20 +7,20 @@
 from pomelobarrow.decision.rendezvous import rendezvous
 from pomelobarrow.decision.work import BackendServer
 
-# The second one stands in while the first gets no work.
+# The second one is used while the first gets no work.
 SERVERS_PER_GROUP = 2
 MAX_GROUPS = 4_096
 
 
 @define
 class GroupServers:
-    """Hold a pool's last answers; hashing each of some hundred servers anew costs too much."""
+    """Memoizes a pool's group servers, as hashing over hundreds of servers each time is slow."""
 
     _pool: Sequence[BackendServer] = ()
     _by_key: dict[int, tuple[BackendServer, ...]] = field(factory=dict)
 
     def of(self, key: int, pool: Sequence[BackendServer]) -> tuple[BackendServer, ...]:
-        """Return the group's servers, best first."""
+        """Return the group's servers, first choice first."""
         if pool is not self._pool or len(self._by_key) >= MAX_GROUPS:
             self._pool = pool
             self._by_key.clear()
--- a/src/pomelobarrow/decision/load_table.py
+++ b/src/pomelobarrow/decision/load_table.py
@@ -1,4 +1,4 @@
-"""Keep what this VM knows of its region's backend servers."""
+"""This VM's view of its region's backend servers: load, health, caches and service times."""
 
 import math
 from collections import defaultdict
@@ -18,36 +18,36 @@
 from pomelobarrow.decision.service_times import ServiceTimes
 from pomelobarrow.decision.work import BackendServer, InFlight, LoadReport
 
-HEARD_EWMA_WEIGHT = 0.1
-MAX_HEARD_GAP_S = 5.0
-# Peers are told of a glimpse at the next heartbeat; later it says nothing of the present.
-GLIMPSE_GOOD_FOR_S = 2.0
+HEARTBEAT_GAP_EWMA_WEIGHT = 0.1
+MAX_HEARTBEAT_GAP_S = 5.0
+# A partial report is sent to peers with the next heartbeat; an older one is out of date.
+MAX_PARTIAL_REPORT_AGE_S = 2.0
 
 
 @define(kw_only=True)
 class ServerState:
-    """Show one usable backend server as a choice sees it."""
+    """The state of one usable backend server, as input of a placement decision."""
 
     server: BackendServer
     requests: int
     others_requests: int
-    # By how many the count of others' requests may be off.
+    # Standard deviation of the estimated number of others' requests.
     requests_deviation: float
-    # Prompt tokens still to be computed: of this VM's requests, known exactly, and of all others.
+    # Prompt tokens still to be computed: exact for this VM's requests, an estimate for all others.
     own_tokens: int
     others_tokens: int
-    # Tokens that the requests in flight may come to hold.
+    # KV cache tokens that the requests in flight may come to use.
     kv_tokens: int
-    # Slots that work may fill now; fewer during slow start.
+    # Slots that may be filled now; fewer during slow start.
     slots: float
-    # How surely a stream there is late now, from what streams of this VM show.
+    # Share of the server's streams that are late now, from pauses in this VM's own streams.
     seen_late_share: float = 0.0
-    # The share of its time that it spends reading prompts.
+    # Share of its time that the server spends on prefill.
     prefill_share: float = 0.0
 
 
 class LoadTable:
-    """Add up reports, own charges and peers' counts for each server."""
+    """Estimates each server's load from reports, own charges and peers' counts."""
 
     def __init__(self, own_region: str) -> None:
         self.own_region = own_region
@@ -55,11 +55,12 @@
         self.pauses = ServerPauses()
         self.prefill_rates = PrefillRates()
         self.limits = ServerLimits()
-        # Failure domains that are being emptied: their servers get no new work.
+        # Failure domains that are being evacuated: their servers get no new work.
         self.closed_domains: frozenset[str] = frozenset()
-        # Whether one VM for each server places nearly all that it has to read. That VM alone tells
-        # of it then, and as much again for each VM that isn't heard would be many times too much.
-        self.is_coordinated = False
+        # Whether each server has a coordinating VM that places nearly all of its prefill. That VM's
+        # count then covers it, and extrapolating it to VMs that this one receives no counts from
+        # would give many times the real amount.
+        self.is_prefill_coordinated = False
         self._servers: dict[str, BackendServer] = {}
         self._pools: dict[str, tuple[BackendServer, ...]] = {}
         self._loads: dict[str, ServerLoad] = {}
@@ -67,13 +68,13 @@
         self._clocks: defaultdict[str, ReportClock] = defaultdict(ReportClock)
         self._charges: dict[str, Charge] = {}
         self._peers: dict[str, PeerCounts] = {}
-        self._heard_every_s = 0.0
-        self._glimpses: dict[str, LoadReport] = {}
+        self._mean_heartbeat_gap_s = 0.0
+        self._partial_reports: dict[str, LoadReport] = {}
         self._times: dict[str, ServiceTimes] = {}
         self._groups: defaultdict[str, GroupServers] = defaultdict(GroupServers)
 
     def set_servers(self, servers: Iterable[BackendServer]) -> None:
-        """Take over the platform's list; servers of other regions are left out."""
+        """Replace the servers by the platform's list, without those of other regions."""
         listed = {s.name: s for s in servers if s.region == self.own_region}
         for name in listed.keys() & self._servers.keys():
             if listed[name].born_unix_ms != self._servers[name].born_unix_ms:
@@ -96,7 +97,7 @@
         self.prefixes.set_capacities(capacities)
 
     def observe_report(self, report: LoadReport, received_unix_s: float) -> None:
-        """Take in a server's report."""
+        """Update a server's load by its report."""
         load = self._loads.get(report.server)
         if load is None:
             return
@@ -106,21 +107,25 @@
         load.observe_report(report, measured_unix_s, near)
 
     def observe_partial_report(self, report: LoadReport, now_unix_s: float) -> None:
-        """Take in what a server told this VM with an answer, and keep it to be told to peers."""
-        self._glimpses[report.server] = report
+        """Update a server's load by a report that came with an answer, and keep it for peers."""
+        self._partial_reports[report.server] = report
         self.observe_report(report, now_unix_s)
 
     def partial_reports(self, now_unix_s: float) -> list[LoadReport]:
-        """Return what servers told this VM itself of late."""
-        oldest_unix_s = now_unix_s - GLIMPSE_GOOD_FOR_S
-        return [each for each in self._glimpses.values() if each.measured_unix_s >= oldest_unix_s]
+        """Return the recent partial reports that this VM received from servers."""
+        oldest_unix_s = now_unix_s - MAX_PARTIAL_REPORT_AGE_S
+        return [
+            each for each in self._partial_reports.values() if each.measured_unix_s >= oldest_unix_s
+        ]
 
     def observe_peer(self, vm: str, in_flight: Mapping[str, InFlight], now_unix_s: float) -> None:
-        """Take in what a peer has in flight on each server."""
+        """Update a peer's requests in flight on each server."""
         old = self._peers.get(vm, PeerCounts())
         if vm in self._peers:
-            gap_s = min(now_unix_s - old.latest_unix_s, MAX_HEARD_GAP_S)
-            self._heard_every_s += HEARD_EWMA_WEIGHT * (gap_s - self._heard_every_s)
+            gap_s = min(now_unix_s - old.latest_unix_s, MAX_HEARTBEAT_GAP_S)
+            self._mean_heartbeat_gap_s += HEARTBEAT_GAP_EWMA_WEIGHT * (
+                gap_s - self._mean_heartbeat_gap_s
+            )
         self._peers[vm] = old.after(in_flight, now_unix_s)
         for name in old.latest.keys() | in_flight.keys():
             load = self._loads.get(name)
@@ -128,7 +133,7 @@
                 load.replace_peer(old.latest.get(name, NOTHING), in_flight.get(name, NOTHING))
 
     def forget_peer(self, vm: str) -> None:
-        """Drop a peer's counts; what it left running is in the servers' reports."""
+        """Drop a peer's data; requests that it left running are counted by servers' reports."""
         for times in self._times.values():
             times.forget_peer(vm)
         self.prefill_rates.forget_peer(vm)
@@ -146,7 +151,7 @@
         now_unix_s: float,
         kv_tokens: int = 0,
     ) -> None:
-        """Count a placement: its uncached prompt tokens, and all tokens it may come to hold."""
+        """Add a placement: its uncached prompt tokens, and the KV cache tokens it may use."""
         self.release(request_id, now_unix_s)
         load = self._loads.setdefault(server_name, ServerLoad())
         charge = Charge(
@@ -164,7 +169,7 @@
         self._times_of(server_name).observe_charge(tokens, kv_tokens)
 
     def started(self, request_id: str, now_unix_s: float) -> None:
-        """Note a request's first token."""
+        """Record a request's first token."""
         charge = self._charges.get(request_id)
         if charge is None or charge.started_unix_s is not None:
             return
@@ -175,7 +180,7 @@
             times.observe_start(tokens, now_unix_s - charge.charged_unix_s)
 
     def release(self, request_id: str, now_unix_s: float) -> None:
-        """Note that a request ended, however it ended."""
+        """Remove a request that has ended, whatever its outcome."""
         charge = self._charges.pop(request_id, None)
         if charge is None:
             return
@@ -185,26 +190,26 @@
         self._loads[charge.server_name].release(charge, now_unix_s)
 
     def in_flight(self) -> Mapping[str, InFlight]:
-        """Return this VM's own counts, for heartbeats."""
+        """Return this VM's own requests in flight by server, for heartbeats."""
         return {name: load.own for name, load in self._loads.items() if load.own_requests}
 
     def mark_failed(self, server_name: str, now_unix_s: float) -> None:
-        """Note that a server could not be reached or broke off."""
+        """Record that a server was unreachable or broke off an answer."""
         if server_name in self._health:
             self._health[server_name].mark_failed(now_unix_s)
 
     def mark_ok(self, server_name: str, now_unix_s: float) -> None:
-        """Note that a server answered."""
+        """Record that a server answered."""
         if server_name in self._health:
             self._health[server_name].mark_ok(now_unix_s)
 
     def eject(self, server_name: str, now_unix_s: float) -> None:
-        """Leave a server out for a while."""
+        """Eject a server for a while."""
         if server_name in self._health:
             self._health[server_name].eject(now_unix_s)
 
     def is_ejected(self, server_name: str, now_unix_s: float) -> bool:
-        """Say whether a server gets no work because it failed of late."""
+        """Return whether a server gets no work because of recent failures."""
         health = self._health.get(server_name)
         return health is not None and health.is_ejected(now_unix_s)
 
@@ -217,19 +222,20 @@
         return self.states(self.usable_servers(pool, now_unix_s), pool, now_unix_s)
 
     def usable_servers(self, pool: str, now_unix_s: float) -> Sequence[BackendServer]:
-        """Return the servers of a pool that may get new work, without their state."""
-        staying = [s for s in self.pool_servers(pool) if not self._leaves(s)]
-        # A lapsed lease is no proof that a server is gone; where others hold theirs, they go first.
+        """Return the servers of a pool that may get new work, without computing their states."""
+        staying = [s for s in self.pool_servers(pool) if not self._is_leaving(s)]
+        # An expired lease doesn't prove that a server is gone, but servers with valid leases are
+        # preferred.
         staying = [s for s in staying if not s.is_lease_expired] or staying
         healthy = [s for s in staying if not self._health[s.name].is_ejected(now_unix_s)]
-        # When every server is ejected, the fault is likelier on this side; an empty pool would
-        # refuse work that a server could run, so all are tried.
+        # If every server is ejected, the fault is more likely on this side. All of them are tried
+        # then, as an empty pool would refuse work that a server could run.
         return healthy or staying
 
     def next_allowed_unix_s(
         self, pool: str, excluded: Collection[str], now_unix_s: float
     ) -> float | None:
-        """Return when servers' own limits let this VM send next, None where they let it now."""
+        """Return when servers' own rate limits allow the next request, None if they do now."""
         if not self.limits.named:
             return None
         usable = [s for s in self.usable_servers(pool, now_unix_s) if s.name not in excluded]
@@ -239,22 +245,25 @@
     def states(
         self, servers: Iterable[BackendServer], pool: str, now_unix_s: float
     ) -> list[ServerState]:
-        """Return the state of some servers of a pool."""
+        """Return the states of the given servers of a pool."""
         times = self.service_times(pool)
-        # As many come as go; either count varies by its square root.
+        # In a steady state as many requests start as end. Both counts are random, each with its
+        # square root as standard deviation.
         unseen_share = 2.0 * self.view_age_s / max(times.hold_s, 1e-3)
-        of_pool = self.prefill_rates.share_of_pool(
+        pool_prefill_share = self.prefill_rates.share_of_pool(
             pool, len(self.pool_servers(pool)), times.s_per_prefill_token, now_unix_s
         )
-        return [self._state(s, unseen_share, of_pool, times, now_unix_s) for s in servers]
+        return [
+            self._state(s, unseen_share, pool_prefill_share, times, now_unix_s) for s in servers
+        ]
 
     @property
     def view_age_s(self) -> float:
-        """Return how old what peers told is on average."""
-        return self._heard_every_s / 2.0
+        """Return the mean age of peers' counts."""
+        return self._mean_heartbeat_gap_s / 2.0
 
     def unseen_s(self, states: Sequence[ServerState], pool: str) -> float:
-        """Return the seconds of prefill that peers have placed since they were last heard."""
+        """Return the seconds of prefill that peers have placed since their last heartbeat."""
         times = self.service_times(pool)
         placed_per_s = sum(s.others_requests for s in states) / max(times.hold_s, 1e-3)
         return placed_per_s * self.view_age_s * times.tokens * times.s_per_prefill_token
@@ -269,18 +278,18 @@
         return load.report if load else None
 
     def service_times(self, pool: str) -> ServiceTimes:
-        """Return what was learned of a pool."""
+        """Return the learned service times of a pool."""
         times = self._times.get(pool)
         if times is None:
             times = self._times[pool] = ServiceTimes()
         return times
 
     def all_service_times(self) -> Iterable[tuple[str, ServiceTimes]]:
-        """Return what was learned of each pool that has servers here."""
+        """Return the learned service times of each pool that has servers in this region."""
         return [(pool, times) for pool, times in self._times.items() if pool in self._pools]
 
     def drain_per_s(self, pool: str, now_unix_s: float) -> float:
-        """Return how many requests a second the pool finishes when full."""
+        """Return the requests per second that a pool finishes when all its slots are in use."""
         hold_s = max(self.service_times(pool).hold_s, 1e-3)
         return sum(
             min(
@@ -291,13 +300,15 @@
         )
 
     def is_in_service(self, server: BackendServer) -> bool:
-        """Say whether a server is listed, the same incarnation, and has not said that it leaves."""
+        """Return whether this incarnation of a server is listed and isn't leaving."""
         listed = self._servers.get(server.name)
         return (
-            listed is not None and self.is_current_incarnation(server) and not self._leaves(listed)
+            listed is not None
+            and self.is_current_incarnation(server)
+            and not self._is_leaving(listed)
         )
 
-    def _leaves(self, server: BackendServer) -> bool:
+    def _is_leaving(self, server: BackendServer) -> bool:
         report = self._loads[server.name].report
         is_closed = server.failure_domain in self.closed_domains
         return is_closed or server.leaving or (report is not None and report.leaving)
@@ -306,14 +317,14 @@
         self,
         server: BackendServer,
         unseen_share: float,
-        reading_share_of_pool: float,
+        pool_prefill_share: float,
         times: ServiceTimes,
         now_unix_s: float,
     ) -> ServerState:
         load = self._loads[server.name]
         others = round(self._others_requests(load, times, now_unix_s))
-        unheard_tokens = 1.0 if self.is_coordinated else self._unheard_factor(load)
-        others_tokens = round((load.tokens(now_unix_s) - load.own_tokens) * unheard_tokens)
+        token_factor = 1.0 if self.is_prefill_coordinated else self._extrapolation_factor(load)
+        others_tokens = round((load.tokens(now_unix_s) - load.own_tokens) * token_factor)
         return ServerState(
             server=server,
             requests=load.own_requests + others,
@@ -325,56 +336,57 @@
             slots=server.slots * self._health[server.name].admitted_share(now_unix_s),
             seen_late_share=self.pauses.late_share(server.name, now_unix_s),
             prefill_share=self.prefill_rates.share(
-                server.name, reading_share_of_pool, times.s_per_prefill_token, now_unix_s
+                server.name, pool_prefill_share, times.s_per_prefill_token, now_unix_s
             ),
         )
 
     def _others_requests(self, load: ServerLoad, times: ServiceTimes, now_unix_s: float) -> float:
-        """Return how many requests all other VMs have at a server.
+        """Return the estimated number of requests that all other VMs have on a server.
 
-        What a server told with an answer counts while those that it had then are still there. The
-        counts that are heard say the same where all VMs are heard, and else hold a part of them
-        only: in a region of 65 VMs the counts of 14 tell a full server from an empty one by chance.
+        A partial report counts while the requests that it covered are still running; its weight
+        decays with the mean request duration. Peers' counts are as good if all VMs send theirs to
+        this one. In a large region only some do: in one of 65 VMs the counts of 14 separate a full
+        server from an empty one only by chance.
         """
-        heard = max(0, load.requests(now_unix_s) - load.own_requests)
-        if not load.is_glimpsed:
-            return heard * self._unheard_factor(load)
-        extrapolated = load.peers_requests * self._unheard_factor(load)
+        known = max(0, load.requests(now_unix_s) - load.own_requests)
+        if not load.has_partial_report:
+            return known * self._extrapolation_factor(load)
+        extrapolated = load.peers_requests * self._extrapolation_factor(load)
         age_s = max(0.0, now_unix_s - load.measured_unix_s)
         weight = math.exp(-age_s / max(times.hold_s, 1e-3))
-        return weight * heard + (1.0 - weight) * extrapolated
+        return weight * known + (1.0 - weight) * extrapolated
 
-    def _unheard_factor(self, load: ServerLoad) -> float:
-        """Return by how much more all other VMs have at a server than those that tell of it.
+    def _extrapolation_factor(self, load: ServerLoad) -> float:
+        """Return the ratio of all other VMs' requests to those of the VMs that send their counts.
 
-        In a large region a VM hears some of the others only. Where servers report their own load,
-        that has the rest in it; elsewhere the rest is taken to do as those do, since clients spread
-        over all VMs. Left out, a server that is full looks two thirds empty.
+        In a large region a VM receives the counts of only some others. A server's full report
+        includes the requests of the rest. Without one, the rest are assumed to have as many each,
+        since clients spread over all VMs. Without this factor a full server looks two thirds empty.
         """
-        is_whole = load.report is not None and not load.is_glimpsed
+        is_whole = load.report is not None and not load.has_partial_report
         if is_whole or not self._peers:
             return 1.0
         return max(1.0, (self.prefill_rates.region_vms - 1) / len(self._peers))
 
     def _tokens_ahead(self, name: str, load: ServerLoad, now_unix_s: float) -> int | None:
-        """Return the prefill before a new request, where that is all it waits for."""
+        """Return the prefill tokens ahead of a new request, None if it may wait for a slot too."""
         server = self._servers.get(name)
         if server is None:
             return None
         state = self.states((server,), server.pool, now_unix_s)[0]
-        surely_has_slot = state.requests + 2.0 * state.requests_deviation < server.slots
-        return load.tokens(now_unix_s) if surely_has_slot else None
+        has_free_slot = state.requests + 2.0 * state.requests_deviation < server.slots
+        return load.tokens(now_unix_s) if has_free_slot else None
 
     def is_current_incarnation(self, server: BackendServer) -> bool:
-        """Say whether a server hasn't started again since."""
+        """Return whether a server hasn't restarted since, or is no longer listed."""
         listed = self._servers.get(server.name)
         return listed is None or listed.born_unix_ms == server.born_unix_ms
 
     def _forget_incarnation(self, name: str) -> None:
-        """Begin anew with a server that started again under its name.
+        """Drop all data about the previous incarnation of a restarted server.
 
-        Requests, failures and cached prompts of the incarnation before would be held against it,
-        and their late ends taken off its own counts.
+        Otherwise the previous one's requests, failures and cached prompts would be attributed to
+        the new one, and requests that end late would be subtracted from its counts.
         """
         self._forget_server(name)
         self.prefixes.forget(name)
@@ -386,10 +398,10 @@
         self._loads.pop(name, None)
         self._health.pop(name, None)
         self._clocks.pop(name, None)
-        self._glimpses.pop(name, None)
+        self._partial_reports.pop(name, None)
         self.pauses.forget(name)
         self.prefill_rates.forget(name)
-        # Kept, these would be taken off the counts of the next server of that name.
+        # Otherwise these would be subtracted from the counts of the next server of that name.
         self._peers = {vm: counts.without(name) for vm, counts in self._peers.items()}
 
     def _times_of(self, server_name: str) -> ServiceTimes:
--- a/src/pomelobarrow/decision/local_choice.py
+++ b/src/pomelobarrow/decision/local_choice.py
@@ -1,8 +1,8 @@
 """Choose a backend server of this region for a request.
 
-Load pattern: many VMs place requests at the same servers, half of which stand in another failure
-domain. Bytes between the domains are paid for, so that a near server goes first while it is free;
-cold servers get no more than they bear from all VMs together.
+Load pattern: many VMs place requests on the same servers, half of which are in another failure
+domain. Traffic between failure domains is charged, so a nearby server (one in this VM's own failure
+domain) is preferred while it is free. The request rate of a cold server is limited over all VMs.
 """
 
 from random import Random
@@ -18,16 +18,16 @@
 from pomelobarrow.decision.server_choice import StateReader, choose_server, state_reader
 from pomelobarrow.decision.work import BackendServer, Placement
 
-# Servers queue some requests themselves. Past this many in flight for each slot they refuse, or the
-# wait would exceed any target.
+# Servers queue some requests themselves. Beyond this many in flight per slot they refuse requests,
+# or the wait exceeds any target.
 MAX_IN_FLIGHT_PER_SLOT = 4.0
-# A near server is taken while it is expected to begin within this part of the target.
-NEAR_AT_TARGET_SHARE = 0.1
+# A nearby server is preferred while its expected wait is within this share of the target.
+NEARBY_WAIT_TARGET_SHARE = 0.1
 
 
 @define(kw_only=True)
 class LocalChoice:
-    """Hold what the choice depends on."""
+    """Chooses a server of the own region, preferring the own failure domain."""
 
     own_region: str
     own_failure_domain: str
@@ -43,44 +43,58 @@
         excluded: ExcludedTargets,
         now_unix_s: float,
     ) -> Placement | None:
-        """Return the server that answers first, a near one where that is as good."""
+        """Return the server with the least expected wait, or a nearby one if that is free."""
         if not request.route.may_run_in(self.own_region):
             return None
         cold = self._cold_servers(request.work.pool, routing, now_unix_s)
-        barred = frozenset(excluded.servers | cold)
+        excluded_names = frozenset(excluded.servers | cold)
         states = state_reader(self.table, request.work.pool, now_unix_s)
-        near = self._choose_near(request, barred, states, now_unix_s)
-        if near is not None:
-            return near
+        nearby = self._choose_nearby(request, excluded_names, states, now_unix_s)
+        if nearby is not None:
+            return nearby
         return choose_server(
-            self.table, request.work, now_unix_s, self.rng, barred, _admits, states
+            self.table,
+            request.work,
+            now_unix_s,
+            self.rng,
+            excluded_names,
+            _has_queue_capacity,
+            states,
         )
 
-    def _choose_near(
+    def _choose_nearby(
         self,
         request: PlacementRequest,
-        barred: frozenset[str],
+        excluded_names: frozenset[str],
         states: StateReader,
         now_unix_s: float,
     ) -> Placement | None:
-        """Return a server of this VM's own failure domain that is as good as any, if there is one.
+        """Return a server of this VM's own failure domain if one is free and has the prompt cached.
 
-        Bytes between failure domains cost, and gain nothing where a near server is free.
+        Traffic between failure domains is charged and gains nothing while a nearby server is free.
         """
         work = request.work
         servers = self.table.pool_servers(work.pool)
-        far = {s.name for s in servers if s.failure_domain != self.own_failure_domain}
-        if not far or len(far) == len(servers):
+        other_domains = {s.name for s in servers if s.failure_domain != self.own_failure_domain}
+        if not other_domains or len(other_domains) == len(servers):
             return None
-        near = choose_server(self.table, work, now_unix_s, self.rng, barred | far, _admits, states)
-        if near is None or near.expected_wait_s > NEAR_AT_TARGET_SHARE * (
+        nearby = choose_server(
+            self.table,
+            work,
+            now_unix_s,
+            self.rng,
+            excluded_names | other_domains,
+            _has_queue_capacity,
+            states,
+        )
+        if nearby is None or nearby.expected_wait_s > NEARBY_WAIT_TARGET_SHARE * (
             request.route.first_answer_target_s
         ):
             return None
-        return near if request.is_warm_at(near) or not request.is_long_shared else None
+        return nearby if request.is_warm_at(nearby) or not request.is_long_shared else None
 
     def _cold_servers(self, pool: str, routing: Routing, now_unix_s: float) -> set[str]:
-        """Return the cold servers that this VM may not send to now."""
+        """Return the cold servers that this VM's share of the rate limit excludes now."""
         spec = routing.pool_by_name.get(pool)
         rate_per_s = spec.cold_requests_per_s if spec else 0.0
         servers = self.table.pool_servers(pool)
@@ -95,10 +109,10 @@
         }
 
     def record_placement(self, server: BackendServer, now_unix_s: float) -> None:
-        """Count a placement against a cold server's allowance."""
+        """Count a placement against this VM's rate for a cold server."""
         if server.cold_until_unix_s > now_unix_s:
             self.cold.take(server, now_unix_s)
 
 
-def _admits(state: ServerState, rank: Rank) -> bool:
+def _has_queue_capacity(state: ServerState, rank: Rank) -> bool:
     return state.requests < MAX_IN_FLIGHT_PER_SLOT * state.server.slots
--- a/src/pomelobarrow/decision/next_placement.py
+++ b/src/pomelobarrow/decision/next_placement.py
@@ -1,4 +1,4 @@
-"""Choose which waiting work goes to a backend server next, and to which."""
+"""Choose the next queued request to place, and its backend server."""
 
 from collections.abc import Callable
 from random import Random
@@ -10,15 +10,16 @@
 from pomelobarrow.decision.work import Placement, Work
 from pomelobarrow.decision.work_queue import WorkQueue
 
-# How many of the first in the queue may be passed by one whose prefix the free server holds.
-LOOKED_AT = 16
-# Returns the placement of some work, or None while no server has room for it.
+# How many requests at the head of the queue are examined. One whose prefix the free server has
+# cached may overtake those before it.
+MAX_QUEUE_LOOKAHEAD = 16
+# Returns a request's placement, or None while no server has capacity for it.
 ServerChooser = Callable[[LoadTable, Work, float, Random, frozenset[str]], Placement | None]
 
 
 @frozen
-class Placed:
-    """Hold work taken from the queue with its place."""
+class PlacedWork:
+    """A request taken from the queue, with its placement."""
 
     work: Work
     placement: Placement
@@ -31,19 +32,19 @@
     now_unix_s: float,
     random: Random,
     choose: ServerChooser = choose_server,
-) -> Placed | None:
-    """Take the first work that finds its prefix where there is room, else the first with room.
+) -> PlacedWork | None:
+    """Dequeue the first request with a cached prefix on a free server, else the first that fits.
 
-    In a full pool only the server that just had a slot freed has room. Were the first in the queue
-    always taken, all prompts would go to servers that don't hold their prefix; the prefill
-    this costs lowers the capacity, and the pool would stay full after the overload is over.
+    In a full pool only the server that just freed a slot has capacity. If the head of the queue
+    were always taken, most prompts would go to servers that haven't cached their prefix. The extra
+    prefill lowers the pool's capacity, so that it would stay full after the overload is over.
     """
-    first: Placed | None = None
-    for work in queue.first(LOOKED_AT, now_unix_s):
+    first: PlacedWork | None = None
+    for work in queue.first(MAX_QUEUE_LOOKAHEAD, now_unix_s):
         placement = choose(table, work, now_unix_s, random, excluded(work))
         if placement is None:
             continue
-        placed = Placed(work, placement)
+        placed = PlacedWork(work, placement)
         if placement.reason == WARM:
             first = placed
             break
--- a/src/pomelobarrow/decision/placement.py
+++ b/src/pomelobarrow/decision/placement.py
@@ -1,4 +1,4 @@
-"""Decide where a relayed request goes next: a backend server here, a peer elsewhere, nowhere."""
+"""Place a relayed request: on a backend server of this region, on a peer, or not at all."""
 
 from collections.abc import Callable, Mapping
 from random import Random
@@ -13,11 +13,11 @@
     ALL_SERVERS_LATE,
     LOCAL_RATE_LIMITED,
     NO_LOCAL_SERVER,
-    Decision,
     ExcludedTargets,
     LocalPlacement,
     NoPlacement,
     PeerPlacement,
+    PlacementDecision,
     PlacementRequest,
 )
 from pomelobarrow.decision.region_choice import RegionLoad
@@ -27,14 +27,14 @@
 from pomelobarrow.decision.turning_away import Promise, is_worth_taking
 from pomelobarrow.decision.work import BackendServer, Placement
 
-# A caller that comes for the first time still has its route's whole time; one with less than this
-# part of it has been turned away before.
-FIRST_COME_SHARE = 0.97
+# On the first attempt a caller grants the route's whole time limit. One that grants less than this
+# share of it has been refused before and is retrying.
+FIRST_ATTEMPT_TIME_SHARE = 0.97
 
 
 @define(kw_only=True)
 class Placer:
-    """Hold what placing depends on."""
+    """Places requests by the load of local servers, of coordinating peers and of other regions."""
 
     own_region: str
     own_failure_domain: str
@@ -48,7 +48,7 @@
     _remote: RemoteChoice = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self.table.is_coordinated = True
+        self.table.is_prefill_coordinated = True
         self._local = LocalChoice(
             own_region=self.own_region,
             own_failure_domain=self.own_failure_domain,
@@ -72,62 +72,67 @@
         routing: Routing,
         excluded: ExcludedTargets,
         now_unix_s: float,
-    ) -> Decision:
-        """Return where a request goes next."""
+    ) -> PlacementDecision:
+        """Return the server or peer to send the request to, or why there is none."""
         self.members.refresh(now_unix_s)
-        here = self._local.choose(request, routing, excluded, now_unix_s)
-        here_or_nowhere = _here_or_nowhere(request, here, now_unix_s)
+        local = self._local.choose(request, routing, excluded, now_unix_s)
+        local_or_none = _local_placement(request, local, now_unix_s)
         if request.is_forwarded:
-            return here_or_nowhere
-        is_taken_here = isinstance(here_or_nowhere, LocalPlacement)
-        coordinator = self._remote.coordinator(request, here, is_taken_here, excluded, now_unix_s)
+            return local_or_none
+        is_accepted_locally = isinstance(local_or_none, LocalPlacement)
+        coordinator = self._remote.coordinator(
+            request, local, is_accepted_locally, excluded, now_unix_s
+        )
         if coordinator is not None:
             return coordinator
-        if here is not None and not _may_leave(request, here):
-            return LocalPlacement(placement=here)
-        elsewhere = self._remote.choose(request, here, excluded, now_unix_s)
-        if elsewhere is not None:
-            expected_s = elsewhere.expected_first_answer_s
-            return _unless_behind(request, elsewhere, expected_s, now_unix_s)
-        if here is None:
-            return self._nowhere(request, excluded, now_unix_s)
-        return here_or_nowhere
-
-    def _nowhere(
+        if local is not None and not _may_use_other_region(request, local):
+            return LocalPlacement(placement=local)
+        remote = self._remote.choose(request, local, excluded, now_unix_s)
+        if remote is not None:
+            expected_s = remote.expected_first_answer_s
+            return _unless_too_late(request, remote, expected_s, now_unix_s)
+        if local is None:
+            return self._no_placement(request, excluded, now_unix_s)
+        return local_or_none
+
+    def _no_placement(
         self, request: PlacementRequest, excluded: ExcludedTargets, now_unix_s: float
     ) -> NoPlacement:
-        """Say whether nothing but the limits of this region's servers is in the way."""
+        """Return the reason: no usable server in this region, or only their rate limits."""
         if not request.route.may_run_in(self.own_region):
             return NoPlacement(reason=NO_LOCAL_SERVER)
         pool = request.work.pool
         next_unix_s = self.table.next_allowed_unix_s(pool, excluded.servers, now_unix_s)
         if next_unix_s is None:
             return NoPlacement(reason=NO_LOCAL_SERVER)
-        # Where others send at the rate, coming back once they have sent is all there is.
+        # Other VMs may use up the rate limit. The caller then retries once they have sent, after
+        # the time in which the pool finishes one request.
         drain_per_s = max(self.table.drain_per_s(pool, now_unix_s), LEAST_PER_S)
         wait_s = min(next_unix_s - now_unix_s, 1.0 / drain_per_s)
         return NoPlacement(reason=LOCAL_RATE_LIMITED, wait_s=wait_s, next_unix_s=next_unix_s)
 
     def record_placement(self, server: BackendServer, now_unix_s: float) -> None:
-        """Count a placement against a cold server's allowance."""
+        """Count a placement against this VM's rate for a cold server."""
         self._local.record_placement(server, now_unix_s)
 
 
-def _here_or_nowhere(
-    request: PlacementRequest, here: Placement | None, now_unix_s: float
-) -> Decision:
-    if here is None:
+def _local_placement(
+    request: PlacementRequest, local: Placement | None, now_unix_s: float
+) -> PlacementDecision:
+    if local is None:
         return NoPlacement(reason=NO_LOCAL_SERVER)
-    return _unless_behind(request, LocalPlacement(placement=here), here.expected_wait_s, now_unix_s)
+    return _unless_too_late(
+        request, LocalPlacement(placement=local), local.expected_wait_s, now_unix_s
+    )
 
 
-def _unless_behind(
+def _unless_too_late(
     request: PlacementRequest,
     decision: LocalPlacement | PeerPlacement,
     expected_s: float,
     now_unix_s: float,
-) -> Decision:
-    """Refuse a stream where even the best server is too far behind."""
+) -> PlacementDecision:
+    """Refuse a stream for which even the best server would answer too late."""
     if not request.work.prompt_tokens:
         return decision
     if is_worth_taking(_promise(request), expected_s, now_unix_s):
@@ -135,9 +140,9 @@
     return NoPlacement(reason=ALL_SERVERS_LATE, wait_s=expected_s)
 
 
-def _may_leave(request: PlacementRequest, here: Placement) -> bool:
-    """Say whether another region might be better; a short prompt that is early here stays."""
-    return request.is_long or is_late(request, here)
+def _may_use_other_region(request: PlacementRequest, local: Placement) -> bool:
+    """Return whether to compare other regions; a short prompt that is on time stays local."""
+    return request.is_long or is_late(request, local)
 
 
 def _promise(request: PlacementRequest) -> Promise:
@@ -147,5 +152,5 @@
         first_answer_due_unix_s=work.first_token_due_unix_s,
         silence_patience_s=route.silence_patience_s,
         is_long=request.is_long,
-        has_come_back=granted_s < FIRST_COME_SHARE * route.timeout_s,
+        has_come_back=granted_s < FIRST_ATTEMPT_TIME_SHARE * route.timeout_s,
     )
--- a/src/pomelobarrow/decision/placement_request.py
+++ b/src/pomelobarrow/decision/placement_request.py
@@ -1,4 +1,4 @@
-"""What placing knows of a request, and the places that it has been to."""
+"""The input of a placement decision, its possible results, and the targets already tried."""
 
 from attrs import define, field, frozen
 
@@ -6,9 +6,9 @@
 from pomelobarrow.decision.routing import Route
 from pomelobarrow.decision.work import Placement, Work
 
-# Longer prompts go where the same group went before, so that one cache holds them.
+# Prompts of at least this length go where their group went before, so that one cache holds them.
 LONG_PROMPT_TOKENS = 2_000
-# Less than this part of a shared prompt in a cache here counts as not there.
+# A server that has cached less than this share of a shared prompt counts as cold for it.
 WARM_SHARE = 0.5
 WARM_ELSEWHERE = "another region keeps this prompt warm"
 COORDINATED_BY_PEER = "another VM coordinates this prompt's server"
@@ -22,32 +22,32 @@
 
 @frozen(kw_only=True)
 class PlacementRequest:
-    """Hold a request as placing sees it; `group` names those that share its prompt's text."""
+    """A request to place; `group` identifies the requests that share the text of its prompt."""
 
     route: Route
     work: Work
     group: str = ""
-    # It was passed on by a peer: it runs here or is refused.
+    # Forwarded by a peer: it runs in this region or is refused, and isn't forwarded again.
     is_forwarded: bool = False
 
     @property
     def is_long(self) -> bool:
-        """Say whether its prompt delays what comes after it."""
+        """Return whether the prompt is long enough to delay the requests after it."""
         return self.work.prompt_tokens >= LONG_PROMPT_TOKENS
 
     @property
     def is_long_shared(self) -> bool:
-        """Say whether it is worth going where its shared text is kept."""
+        """Return whether the shared text is long enough to send the request where it is cached."""
         return self.work.shared_tokens >= LONG_PROMPT_TOKENS
 
     def is_warm_at(self, placement: Placement) -> bool:
-        """Say whether a server holds most of its shared text."""
+        """Return whether the placement's server has cached most of the shared text."""
         return placement.cached_tokens >= WARM_SHARE * self.work.shared_tokens
 
 
 @frozen(kw_only=True)
 class LocalPlacement:
-    """Name a backend server of this region."""
+    """The request goes to a backend server of this region."""
 
     placement: Placement
     reason: str = LOCAL_REGION_FASTEST
@@ -55,36 +55,36 @@
 
 @frozen(kw_only=True)
 class PeerPlacement:
-    """Name a peer: in another region, or the one that coordinates a server."""
+    """The request goes to a peer: one in another region, or a server's coordinator."""
 
     member: Member
     reason: str
     expected_first_answer_s: float
-    # The server that it coordinates, where it is asked for that.
+    # The server that the peer coordinates, if it was chosen as coordinator.
     server: str = ""
 
 
 @frozen(kw_only=True)
 class NoPlacement:
-    """Say why a request can't be sent anywhere."""
+    """The request can't be sent to any server or peer."""
 
     reason: str
     wait_s: float = 0.0
-    # When a server of this region may be sent to next, where only its own limit is in the way.
+    # When the next server of this region may be sent to, if only rate limits prevent a placement.
     next_unix_s: float | None = None
 
 
-Decision = LocalPlacement | PeerPlacement | NoPlacement
+PlacementDecision = LocalPlacement | PeerPlacement | NoPlacement
 
 
 @define(kw_only=True)
 class ExcludedTargets:
-    """Hold whom a request has been to, or could not reach."""
+    """Servers, peers and regions that a request was already sent to or that were unreachable."""
 
     servers: set[str] = field(factory=set)
     peers: set[str] = field(factory=set)
     regions: set[str] = field(factory=set)
 
     def names(self) -> list[str]:
-        """Return all of them, for logs."""
+        """Return all names in one sorted list, for logs."""
         return sorted(self.servers | self.peers | self.regions)
--- a/src/pomelobarrow/decision/pool_wait.py
+++ b/src/pomelobarrow/decision/pool_wait.py
@@ -1,19 +1,20 @@
-"""Reckon how long new work waits in a region's pool."""
+"""Estimate how long a new request waits in a region's pool."""
 
 from pomelobarrow.decision.load_table import LoadTable
 from pomelobarrow.decision.work import Work
 from pomelobarrow.decision.work_queue import WorkQueue
 
 MIN_DRAIN_PER_S = 1e-6
-# Work of a full pool waits at least for the next slot.
+# In a full pool a request waits at least for the next slot.
 SLOTS_AHEAD = 1.0
 
 
 def expected_wait_s(table: LoadTable, queue: WorkQueue, work: Work, now_unix_s: float) -> float:
-    """Return the seconds until a server turns to new work: in the queue, then at the server.
+    """Return the seconds until a server starts a new request: wait in the queue and at the server.
 
-    The queue alone says nothing of a pool that is about to be full: its servers' prefill stands
-    before the first token, and a region that tells no more than its queue draws work it delays.
+    The queue alone doesn't show that a pool is nearly full: prefill that is pending at its servers
+    delays the first token too. A region that sent peers only its queue's wait would attract
+    requests that it then delays.
     """
     ahead = queue.ahead(work, now_unix_s)
     drain_per_s = max(table.drain_per_s(work.pool, now_unix_s), MIN_DRAIN_PER_S)
--- a/src/pomelobarrow/decision/prefix_index.py
+++ b/src/pomelobarrow/decision/prefix_index.py
@@ -1,4 +1,4 @@
-"""Remember which backend servers hold which prompt prefixes."""
+"""Track which backend servers have which prompt prefixes cached."""
 
 from collections import OrderedDict, defaultdict
 from collections.abc import Iterable, Mapping, Sequence
@@ -8,16 +8,16 @@
 
 STORED = "stored"
 DEFAULT_CAPACITY_BLOCKS = 512
-# About 150 bytes each: all servers together stay under 20 MB.
+# Limit over all servers. At about 150 bytes per block, the index stays under 20 MB.
 MAX_BLOCKS = 120_000
 
 
 class PrefixIndex:
-    """Map block hashes to servers, from own placements and from late, gappy cache events.
+    """Block hashes cached by each server, from own placements and delayed, lossy cache events.
 
-    Each server's part is a least-recently-used list as large as the engine's own cache. So a missed
-    eviction, which would draw prompts to a server that has to compute them again, is forgotten
-    about when the engine forgets it too.
+    Each server has an LRU list with the capacity of the engine's own cache. A block whose eviction
+    event was lost would attract prompts to a server that has to compute them again; the list
+    evicts it at about the same time as the engine.
     """
 
     def __init__(self) -> None:
@@ -26,7 +26,7 @@
         self._popularity = PrefixPopularity()
 
     def set_capacities(self, kv_capacity_tokens: Mapping[str, int]) -> None:
-        """Take over the servers and their cache sizes; forget every other server."""
+        """Set the servers and their cache sizes, and drop every other server."""
         share = MAX_BLOCKS // max(1, len(kv_capacity_tokens))
         self._capacity_blocks = {
             server: max(1, min(share, tokens // BLOCK_TOKENS))
@@ -36,7 +36,7 @@
             del self._blocks[server]
 
     def observe_placement(self, server: str, prefix_hashes: Sequence[int]) -> None:
-        """Expect a server to hold the prompt that it was just given."""
+        """Record that a server will have cached the prompt that was just sent to it."""
         key = self.group_key(prefix_hashes)
         holders = (s for s in self._blocks if key is not None and self.holds(s, key))
         shared_depth = max((self._depth(s, prefix_hashes) for s in holders), default=0)
@@ -44,37 +44,37 @@
         self._store(server, prefix_hashes)
 
     def forget(self, server: str) -> None:
-        """Drop what a server held; it started again with an empty cache."""
+        """Drop the blocks of a server that restarted with an empty cache."""
         self._blocks.pop(server, None)
 
     def holds(self, server: str, block: int) -> bool:
-        """Say whether a server is expected to hold a block."""
+        """Return whether a server is expected to have a block cached."""
         blocks = self._blocks.get(server)
         return blocks is not None and block in blocks
 
     def group_key(self, prefix_hashes: Sequence[int]) -> int | None:
-        """Return the block that names a prompt's group, the same on every VM."""
+        """Return the block that identifies a prompt's group, the same on every VM."""
         return self._popularity.group_key(prefix_hashes, self._max_group_share)
 
     def typical_group_tokens(self) -> int:
-        """Return the tokens that a prompt of a known group shares with earlier ones."""
+        """Return the mean number of tokens that a prompt of a known group shares with others."""
         return round(self._popularity.group_depth * BLOCK_TOKENS)
 
     def observe_event(self, server: str, kind: str, block: int) -> None:
-        """Take in one cache event of an engine."""
+        """Apply one cache event of an engine."""
         if kind == STORED:
             self._store(server, (block,))
             return
         self._blocks[server].pop(block, None)
 
     def observe_gap(self, server: str) -> None:
-        """Forget the older half of a server's blocks once its events were missed."""
+        """Drop the older half of a server's blocks after some of its events were missed."""
         blocks = self._blocks[server]
         for _ in range(len(blocks) // 2):
             blocks.popitem(last=False)
 
     def cached_tokens(self, server: str, prefix_hashes: Sequence[int]) -> int:
-        """Count the leading prompt tokens that a server is expected to hold."""
+        """Return the number of leading prompt tokens that a server is expected to have cached."""
         return self._depth(server, prefix_hashes) * BLOCK_TOKENS
 
     def __len__(self) -> int:
@@ -82,7 +82,7 @@
 
     @property
     def _max_group_share(self) -> float:
-        # A group that fills half a server leaves it room for others.
+        # A group of at most half a server's share of prompts leaves capacity for other groups.
         return 0.5 / max(1, len(self._capacity_blocks))
 
     def _depth(self, server: str, prefix_hashes: Sequence[int]) -> int:
@@ -98,7 +98,7 @@
 
     def _store(self, server: str, prefix_hashes: Iterable[int]) -> None:
         blocks = self._blocks[server]
-        # Later blocks go in first, so that a prefix outlives what builds on it.
+        # Later blocks are inserted first, so that they are evicted before the prefix they extend.
         for block in reversed(tuple(prefix_hashes)):
             blocks[block] = None
             blocks.move_to_end(block)
--- a/src/pomelobarrow/decision/prefix_popularity.py
+++ b/src/pomelobarrow/decision/prefix_popularity.py
@@ -1,4 +1,4 @@
-"""Find the block that tells a prompt's group from the prompts of all others."""
+"""Find the block that distinguishes a prompt's group from all other prompts."""
 
 from collections import OrderedDict
 from collections.abc import Sequence
@@ -6,33 +6,33 @@
 from attrs import define, field
 
 MAX_COUNTED_BLOCKS = 8_192
-# Counts halve after this many prompts, so that they follow the day.
+# Counts are halved after this many prompts, so that they follow changes in the traffic.
 HALVE_AFTER_PROMPTS = 4_096
 DEPTH_EWMA_WEIGHT = 0.05
 
 
 @define
 class PrefixPopularity:
-    """Count how many prompts start with a block, down to the first rare one.
+    """Counts how many prompts share each leading block, up to the first rare one.
 
-    The first block that isn't popular is the same for all prompts of a repository or a contract
-    template, and no group so named is large enough to fill a server. Rendezvous hashing on it
-    brings a group to one server from every VM, with nothing exchanged.
+    The first block that isn't popular is the same for all prompts of, say, a repository or a
+    contract template, and no group identified by it is large enough to fill a server. With
+    rendezvous hashing on it, every VM sends a group to the same server without coordination.
     """
 
     prompts: float = 0.0
-    # Blocks that a prompt of a known group shares with earlier ones, as seen of late.
+    # Moving average of the blocks that a prompt of a known group shares with earlier ones.
     group_depth: float = 0.0
     _known_prompts: int = 0
     _counts: OrderedDict[int, float] = field(factory=OrderedDict)
 
     def group_key(self, prefix_hashes: Sequence[int], max_share: float) -> int | None:
-        """Return the first block with at most this share of the prompts."""
+        """Return the first block that at most this share of the prompts has."""
         depth = self._key_depth(prefix_hashes, max_share)
         return prefix_hashes[depth] if depth < len(prefix_hashes) else None
 
     def observe(self, prefix_hashes: Sequence[int], max_share: float, shared_depth: int) -> None:
-        """Count one prompt; `shared_depth` is how many of its blocks are known."""
+        """Count one prompt; `shared_depth` is the number of its blocks that are cached."""
         self.prompts += 1.0
         key_depth = self._key_depth(prefix_hashes, max_share)
         if shared_depth > key_depth:
--- a/src/pomelobarrow/decision/routing.py
+++ b/src/pomelobarrow/decision/routing.py
@@ -1,4 +1,4 @@
-"""Published routes: which pool serves a request's host and path, and what may be done with it."""
+"""Published routes: which pool serves a host and path, and how its requests may be handled."""
 
 import enum
 from collections import defaultdict
@@ -10,7 +10,7 @@
 
 
 class RouteKind(enum.Enum):
-    """Say how often a request may run and how it is answered."""
+    """Whether a request may run more than once, and whether it is answered by a stream."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -19,7 +19,7 @@
 
 @frozen(kw_only=True)
 class PoolShare:
-    """Name a pool and its part of a route's requests."""
+    """A pool and the weight with which it gets a route's requests."""
 
     pool: str
     weight: float = 1.0
@@ -27,44 +27,44 @@
 
 @frozen(kw_only=True)
 class Route:
-    """Hold what is published of one route."""
+    """One published route."""
 
     name: str
     host: str
     path_prefix: str
     kind: RouteKind
     pools: tuple[PoolShare, ...]
-    # The most backend servers that one request may be sent to.
+    # The maximum number of backend servers that one request may be sent to.
     max_attempts: int = 1
     # 0 is the most urgent.
     urgency: int = 0
     is_resumable: bool = False
-    # The seconds until there must be a final answer, and until the first of it is on time.
+    # Time limit of the whole answer, and target for the first byte or event of it.
     timeout_s: float
     first_answer_target_s: float
-    # The longest pause between two events of a stream that is on time; 0 where none is stated.
+    # Longest pause allowed between two events of a stream; 0 means no target.
     gap_target_s: float = 0.0
-    # A caller leaves a stream that is silent for this long.
+    # Callers close a stream on which nothing arrives for this long.
     silence_patience_s: float = float("inf")
-    # Empty where any region may serve it.
+    # Regions that may serve the route; empty means all.
     home_regions: tuple[str, ...] = ()
 
     @property
     def is_stream(self) -> bool:
-        """Say whether the answer is a stream of events."""
+        """Return whether the answer is a stream of events."""
         return self.kind is RouteKind.STREAM
 
     @property
     def is_repeatable(self) -> bool:
-        """Say whether a request that may have run can be sent again."""
+        """Return whether a request that may already have run can be sent again."""
         return self.kind is RouteKind.IDEMPOTENT or (self.is_stream and self.is_resumable)
 
     def may_run_in(self, region: str) -> bool:
-        """Say whether a region may serve it."""
+        """Return whether a region may serve the route."""
         return not self.home_regions or region in self.home_regions
 
     def choose_pool(self, random: Random) -> str:
-        """Return a pool, by the shares."""
+        """Return a random pool, weighted by the pools' shares."""
         if len(self.pools) == 1:
             return self.pools[0].pool
         weights = [share.weight for share in self.pools]
@@ -73,11 +73,11 @@
 
 @frozen(kw_only=True)
 class RelayPool:
-    """Hold what is published of a pool that requests are relayed to."""
+    """A published pool of backend servers that requests are relayed to."""
 
     name: str
     max_connections: int = 0
-    # A server that has just started bears so many requests a second, of all VMs together.
+    # For `cold_s` after its start a server gets at most this rate, from all VMs together.
     cold_requests_per_s: float = 0.0
     cold_s: float = 0.0
     kv_capacity_tokens: int = 0
@@ -85,7 +85,7 @@
 
 @frozen(kw_only=True)
 class CallerLimits:
-    """Hold what a caller may send and how long it may take or stay idle."""
+    """Limits on the size of a caller's request and on the time to send it or stay idle."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -95,7 +95,7 @@
 
 @frozen(kw_only=True, slots=False)
 class Routing:
-    """Hold one published version of all routes and pools."""
+    """One published version of all routes and pools."""
 
     version: int = 0
     routes: tuple[Route, ...] = ()
@@ -111,11 +111,11 @@
 
     @cached_property
     def pool_by_name(self) -> Mapping[str, RelayPool]:
-        """Return the pools by their names."""
+        """Return the pools by name."""
         return {pool.name: pool for pool in self.pools}
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the host's route with the longest prefix that begins the path."""
+        """Return the host's route with the longest matching path prefix, if any."""
         routes = self.routes_of_host(host)
         return next((route for route in routes if path.startswith(route.path_prefix)), None)
 
--- a/src/pomelobarrow/decision/server_choice.py
+++ b/src/pomelobarrow/decision/server_choice.py
@@ -1,4 +1,4 @@
-"""Choose the backend server that answers first."""
+"""Choose the backend server with the least expected wait and cost for a request."""
 
 from collections.abc import Callable, Iterator, Sequence
 from random import Random
@@ -12,38 +12,42 @@
 from pomelobarrow.decision.stream_pauses import EngineLoad, PauseTarget, pause_cost_s
 from pomelobarrow.decision.work import BackendServer, Placement, Work
 
-# Paying work may wait a little at the engine, which runs it before all trial work; trial work
-# waits here, where paying work can pass it.
+# Requests that a server may have per slot. Paying requests may queue a little at the engine, which
+# runs them before all trial requests. Trial requests queue in this process, where paying requests
+# can overtake them.
 SLOT_ALLOWANCE = {Rank.PAYING: 1.25, Rank.TRIAL: 1.0}
-# Counts of others are uncertain. Without this margin servers that only look full would idle.
-ROOM_MARGIN_DEVIATIONS = 2.0
-# Of a large pool this many random servers are compared, and all that may hold the prefix.
-COMPARED_SERVERS = 16
-# How surely the server that a prompt's group hashes to holds the group's prefix, unseen.
-GROUP_SERVER_TRUST = 0.7
-# The same where the caller names the part that is shared: nobody else's guess is in it.
-NAMED_GROUP_TRUST = 0.9
-# A prompt read again holds up every request behind it, and fills a second cache with what the first
-# one holds. So its reading counts this many times more than the time that it takes. Measured on
-# deployments of 16 and 7 engines: a fifth fewer tokens read again; 0.04 and no worth gained.
-REREAD_WEIGHT = 2.0
-# Targets are shares of seconds; none is shorter.
+# Counts of other VMs' requests are uncertain. Without this margin, servers that only appear full
+# would idle.
+CAPACITY_MARGIN_DEVIATIONS = 2.0
+# In a large pool this many random servers are compared, plus all that may have the prefix cached.
+MAX_COMPARED_SERVERS = 16
+# Assumed probability that the server a prompt's group hashes to has the group's prefix cached, if
+# this VM hasn't observed it.
+GROUP_SERVER_CACHE_PROBABILITY = 0.7
+# The same if the caller declares the shared part, so that it needn't be estimated.
+NAMED_GROUP_CACHE_PROBABILITY = 0.9
+# Prefilling a prompt that another server has cached delays every request behind it, and fills a
+# second cache with the same blocks. So prefill adds this many times its duration to the cost. On
+# deployments of 16 and 7 engines a fifth fewer tokens are prefilled repeatedly; the score of the
+# served requests rises by 0.04 on the first and stays the same on the second.
+PREFILL_COST_WEIGHT = 2.0
+# Lower bound of a first-answer target; targets are fractions of a second.
 MIN_TARGET_S = 0.05
-# What a long prompt takes to read, for comparing servers before the prompt is known.
-LONG_READING_S = 0.1
+# Typical prefill time of a long prompt, to compare servers before the prompt is known.
+LONG_PREFILL_S = 0.1
 WARM = "prompt cache"
 LEAST_WAIT = "least expected wait"
 
 
-# Says whether a server may get one more request of a rank.
+# Returns whether a server may get one more request of a rank.
 Admission = Callable[[ServerState, Rank], bool]
-# Returns the states of some servers, all of one pool and one moment.
+# Returns the states of servers of one pool, all at the same time.
 StateReader = Callable[[Sequence[BackendServer]], list[ServerState]]
 
 
 @frozen
-class _Warm:
-    """Hold the servers that may have a prompt's prefix, with the tokens expected there."""
+class _WarmServers:
+    """The servers that may have a prompt's prefix cached, with the expected cached tokens."""
 
     tokens_by_name: dict[str, float]
     servers: tuple[BackendServer, ...]
@@ -52,13 +56,13 @@
         return self.tokens_by_name.get(state.server.name, 0.0)
 
 
-def has_room(state: ServerState, rank: Rank) -> bool:
-    """Say whether a server may get one more request of a rank."""
-    # The request's own size isn't asked: small ones would else pass a large one for ever.
-    has_kv_room = state.kv_tokens < state.server.kv_capacity_tokens or state.requests == 0
-    margin = ROOM_MARGIN_DEVIATIONS * state.requests_deviation
+def has_capacity(state: ServerState, rank: Rank) -> bool:
+    """Return whether a server may get one more request of a rank."""
+    # The request's own size is ignored: otherwise small requests could starve a large one.
+    has_kv_capacity = state.kv_tokens < state.server.kv_capacity_tokens or state.requests == 0
+    margin = CAPACITY_MARGIN_DEVIATIONS * state.requests_deviation
     has_slot = state.requests < state.slots * SLOT_ALLOWANCE[rank] + margin
-    return has_kv_room and has_slot and not _is_in_the_way(state, rank)
+    return has_kv_capacity and has_slot and not _would_delay_paying_work(state, rank)
 
 
 def choose_server(
@@ -67,10 +71,10 @@
     now_unix_s: float,
     random: Random,
     excluded: frozenset[str],
-    admits: Admission = has_room,
+    admits: Admission = has_capacity,
     states: StateReader | None = None,
 ) -> Placement | None:
-    """Return the placement with the least expected wait, or None while nothing has room."""
+    """Return the placement with the least cost, or None while no server has capacity."""
     states = states or state_reader(table, work.pool, now_unix_s)
     usable = [
         server
@@ -79,9 +83,9 @@
     ]
     warm = _warm_servers(table, work, usable)
     compared = states(_sample(usable, random))
-    if len(compared) < len(usable) and not _with_room(compared, work, admits):
+    if len(compared) < len(usable) and not _with_capacity(compared, work, admits):
         compared = states(usable)
-    if not _with_room(compared, work, admits):
+    if not _with_capacity(compared, work, admits):
         return None
     seen = {state.server.name for state in compared}
     others = [server for server in warm.servers if server.name not in seen]
@@ -90,10 +94,10 @@
 
 
 def state_reader(table: LoadTable, pool: str, now_unix_s: float) -> StateReader:
-    """Return what reads each server's state once, for choices at one moment.
+    """Return a reader that computes each server's state once, for several choices at one time.
 
-    A request is placed among the near servers first and then among all: read twice, the states of
-    ten servers took a third of a placing.
+    A request is placed among the nearby servers first and then among all servers. Computing the
+    states of ten servers twice took a third of the time of a placement.
     """
     read: dict[str, ServerState] = {}
 
@@ -107,7 +111,7 @@
 
 
 def least_wait_s(table: LoadTable, pool: str, now_unix_s: float) -> float:
-    """Return the seconds until the first of a pool's servers turns to new work."""
+    """Return the seconds until the first of a pool's servers could start a new request."""
     states = table.usable(pool, now_unix_s)
     if not states:
         return 0.0
@@ -115,7 +119,7 @@
 
 
 def least_disturbed_engine(table: LoadTable, pool: str, now_unix_s: float) -> EngineLoad:
-    """Return what a long prompt meets at the server whose streams it disturbs least."""
+    """Return the load of the server whose streams one more long prompt would disturb least."""
     states = table.usable(pool, now_unix_s)
     s_per_token = table.service_times(pool).s_per_prefill_token
     engines = [_engine(state, s_per_token) for state in states]
@@ -132,26 +136,28 @@
 
 
 def _disturbance(engine: EngineLoad) -> float:
-    return (engine.streams + 1) * (engine.backlog_s + engine.prefill_share + LONG_READING_S)
+    return (engine.streams + 1) * (engine.backlog_s + engine.prefill_share + LONG_PREFILL_S)
 
 
-def _is_in_the_way(state: ServerState, rank: Rank) -> bool:
-    """Say whether trial work would stand before paying work in an engine's prefill.
+def _would_delay_paying_work(state: ServerState, rank: Rank) -> bool:
+    """Return whether a trial request would delay paying work in an engine's prefill.
 
-    An engine computes the prompts that it has started in turn, whatever their rank. With a batch of
-    long trial prompts there, a short paying one got its first token late although it had gone first
-    in every queue. One trial prompt at a time keeps the engine busy and is the most to wait for.
+    An engine prefills the prompts that it has started in order, whatever their rank. Behind a batch
+    of long trial prompts, a short paying prompt gets its first token late although it was first in
+    every queue. One trial prompt at a time keeps the engine busy and bounds that wait.
     """
     return rank is Rank.TRIAL and state.own_tokens + state.others_tokens > 0
 
 
 def _sample(servers: Sequence[BackendServer], random: Random) -> Sequence[BackendServer]:
-    if len(servers) <= COMPARED_SERVERS:
+    if len(servers) <= MAX_COMPARED_SERVERS:
         return servers
-    return random.sample(servers, COMPARED_SERVERS)
+    return random.sample(servers, MAX_COMPARED_SERVERS)
 
 
-def _with_room(states: Sequence[ServerState], work: Work, admits: Admission) -> list[ServerState]:
+def _with_capacity(
+    states: Sequence[ServerState], work: Work, admits: Admission
+) -> list[ServerState]:
     return [state for state in states if admits(state, work.rank)]
 
 
@@ -159,34 +165,36 @@
     table: LoadTable,
     work: Work,
     compared: Sequence[ServerState],
-    warm: _Warm,
+    warm: _WarmServers,
     random: Random,
     admits: Admission,
 ) -> Placement:
-    states = _with_room(compared, work, admits)
+    states = _with_capacity(compared, work, admits)
     times = table.service_times(work.pool)
     waits_s = _waits_s(states, times, table.view_age_s)
-    # What peers place comes to the servers with room, also what replaces work on the full ones.
+    # Peers place work on the servers with capacity, including work that replaces requests finished
+    # on full servers.
     unseen_s = table.unseen_s(compared, work.pool)
     pauses_s = _pause_costs_s(work, states, warm, times)
     costs_s = [wait + pause for wait, pause in zip(waits_s, pauses_s, strict=True)]
-    emptiest = choose_index(costs_s, unseen_s, random)
+    least_loaded = choose_index(costs_s, unseen_s, random)
     expected_waits_s = filled(waits_s, unseen_s)
 
-    def reading_s(place: int) -> float:
-        uncached_tokens = max(0.0, work.prompt_tokens - warm.tokens(states[place]))
+    def prefill_s(index: int) -> float:
+        uncached_tokens = max(0.0, work.prompt_tokens - warm.tokens(states[index]))
         return uncached_tokens * times.s_per_prefill_token
 
-    def first_token_s(place: int) -> float:
-        return expected_waits_s[place] + reading_s(place)
+    def first_token_s(index: int) -> float:
+        return expected_waits_s[index] + prefill_s(index)
 
-    def cost_s(place: int) -> float:
-        return first_token_s(place) + REREAD_WEIGHT * reading_s(place) + pauses_s[place]
+    def cost_s(index: int) -> float:
+        return first_token_s(index) + PREFILL_COST_WEIGHT * prefill_s(index) + pauses_s[index]
 
-    # Servers that are no warmer aren't compared: every VM would take the same least waiting one.
-    least = warm.tokens(states[emptiest])
-    warmer = [place for place, state in enumerate(states) if warm.tokens(state) > least]
-    chosen = min((emptiest, *warmer), key=cost_s)
+    # Servers with no more cached tokens are left out: otherwise every VM would choose the same one
+    # with the least wait.
+    least = warm.tokens(states[least_loaded])
+    warmer = [index for index, state in enumerate(states) if warm.tokens(state) > least]
+    chosen = min((least_loaded, *warmer), key=cost_s)
     server = states[chosen].server
     cached_tokens = table.prefixes.cached_tokens(server.name, work.prefix_hashes)
     return Placement(
@@ -200,15 +208,15 @@
 
 
 def pause_target(work: Work) -> PauseTarget:
-    """Return what a request's stream is promised."""
+    """Return the latency targets of a request's stream."""
     target_s = max(MIN_TARGET_S, work.first_token_due_unix_s - work.accepted_unix_s)
     return PauseTarget(gap_s=work.gap_target_s, first_answer_s=target_s)
 
 
 def _pause_costs_s(
-    work: Work, states: Sequence[ServerState], warm: _Warm, times: ServiceTimes
+    work: Work, states: Sequence[ServerState], warm: _WarmServers, times: ServiceTimes
 ) -> list[float]:
-    """Return what reading the prompt costs each server's streams."""
+    """Return the cost of stream pauses that the prompt's prefill causes at each server."""
     if not work.gap_target_s:
         return [0.0] * len(states)
     target = pause_target(work)
@@ -224,7 +232,7 @@
 
 
 def _waits_s(states: Sequence[ServerState], times: ServiceTimes, age_s: float) -> list[float]:
-    """Return the seconds until each server turns to one more request."""
+    """Return the seconds until each server could start one more request."""
     mean_tokens = sum(s.own_tokens + s.others_tokens for s in states) / len(states)
     memory_s = mean_tokens * times.s_per_prefill_token
     others_tokens = shrunk([float(s.others_tokens) for s in states], age_s, memory_s)
@@ -238,33 +246,35 @@
 def _slot_waits_s(states: Sequence[ServerState], times: ServiceTimes) -> Iterator[float]:
     hold_s = times.hold_s
     for state in states:
-        # What peers have placed unseen may be there already: a server that looks just full isn't.
+        # Requests that peers placed since their last update may already be there, so a server that
+        # appears exactly full counts as over its slots.
         requests = state.requests + 1 + state.requests_deviation
         over_slots = max(0.0, requests - state.slots)
         yield over_slots * hold_s / max(state.slots, 1.0)
 
 
 def _group_key(table: LoadTable, work: Work) -> int | None:
-    """Return what names a prompt's group, the same on every VM."""
+    """Return the block hash that identifies a prompt's group, the same on every VM."""
     if work.shared_tokens and work.prefix_hashes:
-        # The hash of the last shared block stands for all before it.
+        # Hashes are chained: the last shared block's hash depends on all blocks before it.
         return work.prefix_hashes[-1]
     return table.prefixes.group_key(work.prefix_hashes)
 
 
 def _assumed_tokens(table: LoadTable, work: Work) -> float:
-    """Return the tokens that a group's own server is expected to hold, unseen."""
+    """Return the tokens that the server a group hashes to is assumed to have cached."""
     if work.shared_tokens:
-        return NAMED_GROUP_TRUST * work.shared_tokens
-    return GROUP_SERVER_TRUST * table.prefixes.typical_group_tokens()
+        return NAMED_GROUP_CACHE_PROBABILITY * work.shared_tokens
+    return GROUP_SERVER_CACHE_PROBABILITY * table.prefixes.typical_group_tokens()
 
 
-def _warm_servers(table: LoadTable, work: Work, usable: Sequence[BackendServer]) -> _Warm:
+def _warm_servers(table: LoadTable, work: Work, usable: Sequence[BackendServer]) -> _WarmServers:
     prefixes = table.prefixes
     key = _group_key(table, work)
     if key is None:
-        return _Warm({}, ())
-    # A part of the shared text saves reading too; all of it has the group's key as its last block.
+        return _WarmServers({}, ())
+    # A cached part of the shared text saves prefill too, so servers are found by its first block;
+    # the group's key is its last block.
     first = work.prefix_hashes[0] if work.shared_tokens else key
     holders = [server for server in usable if prefixes.holds(server.name, first)]
     tokens = {s.name: float(prefixes.cached_tokens(s.name, work.prefix_hashes)) for s in holders}
@@ -273,4 +283,6 @@
     for server in group:
         assumed = _assumed_tokens(table, work)
         tokens[server.name] = max(tokens.get(server.name, 0.0), assumed)
-    return _Warm(tokens, tuple({server.name: server for server in (*holders, *group)}.values()))
+    return _WarmServers(
+        tokens, tuple({server.name: server for server in (*holders, *group)}.values())
+    )
--- a/src/pomelobarrow/decision/server_health.py
+++ b/src/pomelobarrow/decision/server_health.py
@@ -1,4 +1,4 @@
-"""Eject a failing backend server for a while and let it back slowly."""
+"""Eject a failing backend server for a while, then readmit it with a slow start."""
 
 from attrs import define
 
@@ -11,7 +11,7 @@
 
 @define
 class ServerHealth:
-    """Count a server's failures in a row."""
+    """A server's consecutive failures, its ejections and its slow start."""
 
     _failures: int = 0
     _ejections: int = 0
@@ -19,32 +19,32 @@
     _back_unix_s: float = float("-inf")
 
     def mark_failed(self, now_unix_s: float) -> None:
-        """Count a failure; several in a row eject the server, each time for longer."""
+        """Count a failure; consecutive failures eject the server, each time for longer."""
         if self.is_ejected(now_unix_s):
             return
         self._failures += 1
-        # A server that just came back has to prove itself: one failure is enough then.
+        # During slow start after an ejection a single failure is enough.
         if self._failures < FAILURES_BEFORE_EJECTION and self._ejections == 0:
             return
         self._eject(now_unix_s)
 
     def eject(self, now_unix_s: float) -> None:
-        """Eject at once a server that does far worse than the others."""
+        """Eject the server at once, such as one that does far worse than the others."""
         if not self.is_ejected(now_unix_s):
             self._eject(now_unix_s)
 
     def mark_ok(self, now_unix_s: float) -> None:
-        """Forget the failures; forget the ejections once slow start is over."""
+        """Reset the failures, and the ejections once slow start is over."""
         self._failures = 0
         if self.admitted_share(now_unix_s) >= 1.0:
             self._ejections = 0
 
     def is_ejected(self, now_unix_s: float) -> bool:
-        """Say whether the server gets no work now."""
+        """Return whether the server gets no work now."""
         return now_unix_s < self._ejected_until_unix_s
 
     def admitted_share(self, now_unix_s: float) -> float:
-        """Return the share of its slots that a server may fill as it comes back."""
+        """Return the share of its slots that the server may fill, which rises in slow start."""
         ramp = (now_unix_s - self._back_unix_s) / SLOW_START_S
         return max(SLOW_START_SHARE, min(1.0, ramp))
 
--- a/src/pomelobarrow/decision/service_times.py
+++ b/src/pomelobarrow/decision/service_times.py
@@ -1,9 +1,9 @@
 """Learn how fast a pool's backend servers prefill and how long a request holds a slot.
 
-Load pattern: a region of 65 VMs gets some 20 long prompts a second, so that each VM sees one in
-three seconds. By its own alone, many VMs took their engines for nine times slower than they were
-throughout a peak: they refused short prompts that would have begun at once, and sent others to
-another region. So neighbours tell each other what they have seen.
+Load pattern: a region of 65 VMs gets some 20 long prompts per second, so each VM sees one every
+three seconds. From its own samples alone, many VMs estimate their engines nine times slower than
+they are throughout a peak. They then refuse short prompts that would start at once, and send others
+to another region. So neighbours exchange their samples.
 """
 
 import math
@@ -12,24 +12,24 @@
 from attrs import define, field
 
 DECAY = 0.98
-# From so many samples of its own on, a VM needs none of its peers', which are of other moments and
-# servers than its own requests meet. In a replay of one region's peak 402 streams pause too long
-# with this, 477 with none of peers', 556 with all for good (40 seeds).
-ENOUGH_SAMPLES = 4
-# Until a VM has seen a prompt read: what today's accelerators read. A guess that is too slow
-# refuses long prompts that would be early, for seconds after each start; the first answers correct
-# one that is too fast.
+# With this many samples of its own, a VM ignores those of its peers, which are from other times and
+# servers than its own requests use. In a simulated peak of one region, 402 streams pause too long
+# with this limit, 477 without peers' samples, and 556 if peers' samples always count (40 seeds).
+ENOUGH_OWN_SAMPLES = 4
+# Assumed until the first sample: the speed of current accelerators. If it is too low, long prompts
+# that would be on time are refused for seconds after each start. If it is too high, the first
+# answers correct it.
 DEFAULT_PREFILL_TOKENS_PER_S = 100_000.0
 DEFAULT_HOLD_S = 1.0
-# The first token of a shorter prompt takes what any first token takes: the network, the batch that
-# is under way, the first step. Read as prefill, 90 ms for 380 tokens made an engine look ten times
-# slower than it was, and work left its region for waits that weren't there.
+# The time to the first token of a shorter prompt is mostly the fixed cost of any first token: the
+# network, the running batch and the first step. Counted as prefill, 90 ms for 380 tokens make an
+# engine look ten times slower than it is, and requests go to other regions without need.
 SHORT_PROMPT_TOKENS = 1_024
 
 
 @define
 class _DecayingRatio:
-    """Divide two sums; older samples count less, and peers' while own ones are few."""
+    """Ratio of two sums that decay per sample; peers' sums count while own samples are few."""
 
     numerator: float
     denominator: float = 1.0
@@ -43,7 +43,7 @@
         self.samples += 1
 
     def value(self) -> float:
-        peers_weight = max(0.0, 1.0 - self.samples / ENOUGH_SAMPLES)
+        peers_weight = max(0.0, 1.0 - self.samples / ENOUGH_OWN_SAMPLES)
         numerator = self.numerator + peers_weight * self.peers_numerator
         denominator = self.denominator + peers_weight * self.peers_denominator
         return numerator / denominator if denominator else 0.0
@@ -51,7 +51,7 @@
 
 @define
 class ServiceTimes:
-    """Hold the learned times of one pool."""
+    """Learned prefill speed, request durations and token counts of one pool."""
 
     _prefill: _DecayingRatio = field(
         factory=lambda: _DecayingRatio(1.0 / DEFAULT_PREFILL_TOKENS_PER_S)
@@ -60,13 +60,13 @@
     _hold: _DecayingRatio = field(factory=lambda: _DecayingRatio(DEFAULT_HOLD_S))
     _kv: _DecayingRatio = field(factory=lambda: _DecayingRatio(0.0))
     _tokens: _DecayingRatio = field(factory=lambda: _DecayingRatio(0.0))
-    # By peer, the sums that it has told of its own samples.
-    _told: dict[str, tuple[float, ...]] = field(factory=dict)
+    # The sums of each peer's own samples, as last received.
+    _peer_sums: dict[str, tuple[float, ...]] = field(factory=dict)
     _samples: int = 0
 
     @property
     def s_per_prefill_token(self) -> float:
-        """Return the seconds that one uncached prompt token takes."""
+        """Return the prefill time of one uncached prompt token."""
         return self._prefill.value()
 
     @property
@@ -76,27 +76,27 @@
 
     @property
     def kv_tokens(self) -> float:
-        """Return the KV cache tokens that a request may come to hold."""
+        """Return the mean KV cache tokens that a request may come to use."""
         return self._kv.value()
 
     @property
     def tokens(self) -> float:
-        """Return the prompt tokens that a request leaves to compute."""
+        """Return the mean uncached prompt tokens of a request."""
         return self._tokens.value()
 
     @property
     def samples(self) -> int:
-        """Count what this VM has seen itself."""
+        """Return the number of this VM's own samples."""
         return self._samples
 
     def observe_charge(self, tokens: int, kv_tokens: int) -> None:
-        """Take in one placed request's tokens."""
+        """Add the tokens of one placed request."""
         self._samples += 1
         self._tokens.add(tokens, 1.0)
         self._kv.add(kv_tokens, 1.0)
 
     def observe_start(self, tokens_ahead: int, elapsed_s: float) -> None:
-        """Take in one first token and the prefill that stood before it."""
+        """Add the time to one first token, given the prefill tokens up to it."""
         if elapsed_s <= 0:
             return
         self._samples += 1
@@ -106,35 +106,35 @@
         self._prefill.add(max(0.0, elapsed_s - self._base.value()), tokens_ahead)
 
     def observe_finish(self, elapsed_s: float) -> None:
-        """Take in one finished request."""
+        """Add the duration of one finished request."""
         self._samples += 1
         self._hold.add(max(0.0, elapsed_s), 1.0)
 
     def own_sums(self) -> tuple[float, ...]:
-        """Return the sums of this VM's own samples, for its peers."""
+        """Return the sums of this VM's own samples, to be sent to peers."""
         return tuple(
             each for ratio in self._ratios for each in (ratio.numerator, ratio.denominator)
         )
 
     def observe_peer(self, vm: str, sums: Sequence[float]) -> None:
-        """Take the sums of a peer's own samples."""
-        # A peer of another release may tell more or fewer; one that errs must not make every wait
-        # endless.
-        is_sound = all(0.0 <= each < math.inf for each in sums)
-        if is_sound and len(sums) == 2 * len(self._ratios):
-            self._told[vm] = tuple(sums)
-            self._add_up_told()
+        """Replace the sums of a peer's own samples."""
+        # A peer of another release may send more or fewer sums, and invalid ones would make every
+        # expected wait infinite.
+        is_valid = all(0.0 <= each < math.inf for each in sums)
+        if is_valid and len(sums) == 2 * len(self._ratios):
+            self._peer_sums[vm] = tuple(sums)
+            self._update_peer_totals()
 
     def forget_peer(self, vm: str) -> None:
-        """Drop what a peer told."""
-        if self._told.pop(vm, None) is not None:
-            self._add_up_told()
+        """Drop a peer's sums."""
+        if self._peer_sums.pop(vm, None) is not None:
+            self._update_peer_totals()
 
     @property
     def _ratios(self) -> tuple[_DecayingRatio, ...]:
         return (self._prefill, self._base, self._hold, self._kv, self._tokens)
 
-    def _add_up_told(self) -> None:
-        for place, ratio in enumerate(self._ratios):
-            ratio.peers_numerator = sum(sums[2 * place] for sums in self._told.values())
-            ratio.peers_denominator = sum(sums[2 * place + 1] for sums in self._told.values())
+    def _update_peer_totals(self) -> None:
+        for index, ratio in enumerate(self._ratios):
+            ratio.peers_numerator = sum(sums[2 * index] for sums in self._peer_sums.values())
+            ratio.peers_denominator = sum(sums[2 * index + 1] for sums in self._peer_sums.values())
--- a/src/pomelobarrow/decision/token_estimates.py
+++ b/src/pomelobarrow/decision/token_estimates.py
@@ -1,4 +1,4 @@
-"""Estimate what a request costs: prompt tokens, prefix blocks, output tokens."""
+"""Estimate a request's prompt and output tokens, and hash its prompt in prefix blocks."""
 
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 
@@ -15,7 +15,7 @@
 
 
 def estimate_prompt_tokens(text_bytes: int) -> int:
-    """Count prompt tokens as the engines do: one for four bytes, rounded up."""
+    """Estimate prompt tokens as the engines do: one for every four bytes, rounded up."""
     return -(-text_bytes // BYTES_PER_TOKEN)
 
 
@@ -32,27 +32,27 @@
 
 def block_hashes(text: bytes) -> tuple[int, ...]:
     """Hash each whole block of a text with its predecessor's hash as the seed."""
-    return tuple(_chain(text))
+    return tuple(_chained_hashes(text))
 
 
 def prefill_tokens(work: Work, cached_tokens: int) -> int:
-    """Count the prompt tokens an engine has to compute; charge these to its server."""
+    """Return the prompt tokens that the engine has to compute, which its server is charged with."""
     return max(0, work.prompt_tokens - cached_tokens)
 
 
 @define(kw_only=True)
 class OutputEstimate:
-    """Learn the output tokens of each class from finished answers."""
+    """Moving average of the output tokens of each class, from finished answers."""
 
     _mean_by_class: dict[str, float] = field(factory=dict)
 
     def expected_tokens(self, class_name: str, max_tokens: int | None = None) -> int:
-        """Return the mean seen so far, at most what the caller asked for."""
+        """Return the class's mean, capped by the caller's maximum."""
         mean = round(self._mean_by_class.get(class_name, DEFAULT_OUTPUT_TOKENS))
         return mean if max_tokens is None else min(mean, max_tokens)
 
     def observe(self, class_name: str, output_tokens: int) -> None:
-        """Take in one finished answer."""
+        """Add one finished answer to the class's mean."""
         mean = self._mean_by_class.get(class_name, float(output_tokens))
         self._mean_by_class[class_name] = mean + OUTPUT_EWMA_WEIGHT * (output_tokens - mean)
 
@@ -66,7 +66,7 @@
     return ""
 
 
-def _chain(text: bytes) -> Iterator[int]:
+def _chained_hashes(text: bytes) -> Iterator[int]:
     predecessor = 0
     for start in range(0, len(text) - BLOCK_BYTES + 1, BLOCK_BYTES):
         block = text[start : start + BLOCK_BYTES]
--- a/src/pomelobarrow/decision/work.py
+++ b/src/pomelobarrow/decision/work.py
@@ -1,4 +1,4 @@
-"""What the decision logic knows of a request, a backend server and its load."""
+"""Value types shared by the decision logic: requests, backend servers, load and placements."""
 
 from attrs import field, frozen
 
@@ -7,7 +7,7 @@
 
 @frozen(kw_only=True)
 class Work:
-    """Describe one accepted request; all times are Unix seconds by this VM's clock."""
+    """One accepted request; all times are Unix seconds by this VM's clock."""
 
     request_id: str
     class_name: str
@@ -20,20 +20,21 @@
     repeatable: bool
     prompt_tokens: int
     expected_output_tokens: int
-    # Hashes of the prompt's leading blocks, longest prefix last.
+    # Chained hashes of the prompt's leading blocks; the last one stands for the longest prefix.
     prefix_hashes: tuple[int, ...] = ()
-    # Where the caller says how much of its prompt others share; the hashes are then of that part.
+    # Length of the part of the prompt that the caller declares as shared with other requests; 0 if
+    # undeclared. If it is declared, the prefix hashes cover that part only.
     shared_tokens: int = 0
     accepted_unix_s: float
     first_token_due_unix_s: float
     deadline_unix_s: float
-    # The longest pause between two events of a stream that is on time; 0 where none is stated.
+    # Longest pause allowed between two events of the response stream; 0 means no target.
     gap_target_s: float = 0.0
 
 
 @frozen(kw_only=True)
 class BackendServer:
-    """Describe a backend server as the platform lists it."""
+    """A backend server as listed by the platform."""
 
     name: str
     region: str
@@ -44,23 +45,24 @@
     kv_capacity_tokens: int
     leaving: bool = False
     checks_fencing: bool = False
-    # Until then it bears few requests.
+    # Until then the server is cold and gets requests at a limited rate.
     cold_until_unix_s: float = 0.0
-    # When this incarnation started; 0 where it isn't told. A server that starts again under its
-    # name is another one: its cache is empty, and what was sent to it before is gone.
+    # Start time of this incarnation; 0 if unknown. A server that restarts under the same name is a
+    # new incarnation: its cache is empty, and the requests sent to the previous one are lost.
     born_unix_ms: int = 0
-    # Its lease lapsed without a word that it leaves: gone, or the list's keeper was away.
+    # The lease expired and the server hadn't announced that it leaves: either the server is gone,
+    # or the platform that keeps the list was unreachable.
     is_lease_expired: bool = False
 
     @property
     def incarnation(self) -> str:
-        """Return the name and the start, the key of what was learned of this one."""
+        """Return the key under which data about this incarnation is kept: name and start time."""
         return f"{self.name}@{self.born_unix_ms}"
 
 
 @frozen(kw_only=True)
 class LoadReport:
-    """Hold a backend server's own report; it lags, so it says when it was true."""
+    """Load that a backend server reports about itself, as of the time of measurement."""
 
     server: str
     measured_unix_s: float
@@ -69,13 +71,14 @@
     kv_tokens_used: int = 0
     queued_prefill_tokens: int = 0
     leaving: bool = False
-    # Whether it came with an answer: it then tells the requests at one moment and no tokens.
+    # A partial report came with an answer instead of a poll. It has the number of requests at one
+    # moment, and no token counts.
     is_partial: bool = False
 
 
 @frozen(kw_only=True)
 class InFlight:
-    """Count what one entry VM has in flight on one backend server."""
+    """Requests and prompt tokens that one entry VM has in flight on one backend server."""
 
     requests: int = 0
     tokens: int = 0
@@ -83,13 +86,13 @@
 
 @frozen(kw_only=True)
 class Placement:
-    """Name the backend server chosen and why."""
+    """The backend server chosen for a request, with expected wait, cost and reason."""
 
     server: BackendServer
     expected_wait_s: float
-    # The expected wait, and what reading the prompt there costs all others, in seconds.
+    # The expected wait plus the delay that prefilling the prompt there causes for other requests.
     cost_s: float = 0.0
-    # The part of that cost that its reading puts on running streams.
+    # The part of the cost that is due to pauses in streams, those running there and its own.
     pause_cost_s: float = 0.0
     cached_tokens: int = 0
     reason: str = field(default="")
--- a/tests/test_load_table.py
+++ b/tests/test_load_table.py
@@ -163,7 +163,7 @@
     """
     table = table_of(1)
     table.prefill_rates.region_vms = 9
-    table.is_coordinated = True
+    table.is_prefill_coordinated = True
     for number in range(4):
         table.observe_peer(f"vm-{number}", {"s1": InFlight(requests=2, tokens=500)}, 1.0)
     [state] = table.usable(POOL, 1.0)
--- a/tests/test_outliers.py
+++ b/tests/test_outliers.py
@@ -1,6 +1,6 @@
 """A server that does far worse than the others of its pool is found by what it answers."""
 
-from pomelobarrow.decision.outliers import DAWDLES, FAILS, MIN_SAMPLES, OutlierDetector
+from pomelobarrow.decision.outliers import ANSWERS_LATE, FAILS_OFTEN, MIN_SAMPLES, OutlierDetector
 
 POOL = ("a", "b", "c")
 
@@ -8,10 +8,10 @@
 def detector(**answers: tuple[float, float]) -> OutlierDetector:
     """Return a detector that has seen, of each server, a share of failures and a slowness."""
     found = OutlierDetector()
-    for server, (failing_share, slowness) in answers.items():
+    for server, (failing_share, latency_ratio) in answers.items():
         for number in range(40):
             failed = (number * failing_share) % 1.0 + failing_share >= 1.0
-            found.observe(server, failed, slowness)
+            found.observe(server, failed, latency_ratio)
     return found
 
 
@@ -22,12 +22,12 @@
     its clients fails.
     """
     found = detector(a=(0.4, 1.0), b=(0.04, 1.0), c=(0.04, 1.0))
-    assert [found.outlier_reason(name, POOL) for name in POOL] == [FAILS, "", ""]
+    assert [found.outlier_reason(name, POOL) for name in POOL] == [FAILS_OFTEN, "", ""]
 
 
 def test_slow_server_is_found() -> None:
     found = detector(a=(0.0, 8.0), b=(0.0, 1.0), c=(0.0, 1.2))
-    assert [found.outlier_reason(name, POOL) for name in POOL] == [DAWDLES, "", ""]
+    assert [found.outlier_reason(name, POOL) for name in POOL] == [ANSWERS_LATE, "", ""]
 
 
 def test_failures_that_all_servers_share_make_no_outlier() -> None:
--- a/tests/test_server_choice.py
+++ b/tests/test_server_choice.py
@@ -8,7 +8,7 @@
 
 from pomelobarrow.decision.load_table import LoadTable
 from pomelobarrow.decision.next_placement import next_placement
-from pomelobarrow.decision.server_choice import choose_server, has_room, state_reader
+from pomelobarrow.decision.server_choice import choose_server, has_capacity, state_reader
 from pomelobarrow.decision.stale_view import choose_index, fill_level_s
 from pomelobarrow.decision.work import Placement, Work
 from pomelobarrow.decision.work_queue import WorkQueue
@@ -179,7 +179,7 @@
             choices = Random(seed)
             placed.append(
                 [
-                    choose_server(table, work(), 2.0, choices, barred, has_room, shared)
+                    choose_server(table, work(), 2.0, choices, barred, has_capacity, shared)
                     for barred in (far, frozenset[str]())
                 ]
             )
--- a/tests/test_service_times.py
+++ b/tests/test_service_times.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from pomelobarrow.decision.service_times import ENOUGH_SAMPLES, ServiceTimes
+from pomelobarrow.decision.service_times import ENOUGH_OWN_SAMPLES, ServiceTimes
 
 S_PER_TOKEN = 1e-5
 BASE_S = 0.08
@@ -61,7 +61,7 @@
     slow = ServiceTimes()
     for _ in range(50):
         slow.observe_start(17_000, 3 * 17_000 * S_PER_TOKEN)
-    few, enough = seen_by(ENOUGH_SAMPLES - 1), seen_by(ENOUGH_SAMPLES)
+    few, enough = seen_by(ENOUGH_OWN_SAMPLES - 1), seen_by(ENOUGH_OWN_SAMPLES)
     for times in (few, enough):
         times.observe_peer("vm-2", slow.own_sums())
 
