--- a/tests/test_group_owners.py
+++ b/tests/test_group_owners.py
@@ -1,4 +1,4 @@
-"""Every VM names the same region for a prompt group."""
+"""Every VM assigns a prompt group to the same servers, and each region its share of the groups."""
 
 from collections import Counter
 
@@ -50,7 +50,7 @@
     assert all(new == old for old, new in zip(before, after, strict=True) if old == "a")
 
 
-def test_closed_domains_and_other_homes_own_nothing() -> None:
+def test_servers_in_closed_domains_or_other_home_regions_own_no_groups() -> None:
     assert set(regions(SERVERS, closed=frozenset({"a-1"}))) == {"b"}
     assert set(regions(SERVERS, home_regions=("a",))) == {"a"}
     assert set(regions({}, home_regions=("a",))) == {""}
--- a/tests/test_load_table.py
+++ b/tests/test_load_table.py
@@ -1,4 +1,4 @@
-"""The table counts each request once, whichever of charge, peer and report tells of it."""
+"""The table counts a request once, even if a charge, a peer's count and a report include it."""
 
 import pytest
 from attrs import evolve
@@ -47,9 +47,9 @@
     assert requests(table, 3.0) == 0
 
 
-def test_a_dead_peers_requests_stay_counted_by_the_reports() -> None:
-    # An entry VM dies with two requests on a server, which goes on with them. Its peers forget its
-    # counts; the server must not look empty before its own report says so.
+def test_requests_of_a_crashed_peer_stay_counted_through_reports() -> None:
+    # An entry VM crashes while a server runs two of its requests. Its peers drop its counts, but
+    # the server must not look empty until its own report shows that the requests have ended.
     table = table_of(1)
     table.observe_peer("vm-2", {"s1": InFlight(requests=2)}, 1.0)
     for at in (1.1, 2.1):
@@ -61,7 +61,7 @@
     assert requests(table, 4.5) == 0
 
 
-def test_an_out_of_order_report_is_left_out() -> None:
+def test_an_out_of_order_report_is_ignored() -> None:
     table = table_of(1)
     table.observe_report(report("s1", 5.0, running=4), 5.1)
     table.observe_report(report("s1", 3.0, running=1), 5.2)
@@ -69,9 +69,9 @@
 
 
 @pytest.mark.parametrize("skew_s", [30.0, -30.0], ids=["ahead", "behind"])
-def test_a_servers_wrong_clock_neither_hides_nor_doubles_a_request(skew_s: float) -> None:
-    # A server's clock is half a minute off. Taken as it is, its report would count a request that
-    # is also charged, or hide charges made after it.
+def test_clock_skew_of_a_server_neither_hides_nor_doubles_a_request(skew_s: float) -> None:
+    # A server's clock is off by 30 s. Without correction its report would count a request that is
+    # also charged, or hide charges made after it.
     table = table_of(1)
     table.charge("r1", "s1", 100, 1.0)
     for at in (2.0, 3.0):
@@ -99,7 +99,7 @@
 
 
 def test_a_failing_server_is_ejected_for_longer_each_time() -> None:
-    # A server refuses connections, comes back, fails again: it is left out for a second, then two.
+    # A server refuses connections, recovers and fails again: it is ejected for 1 s, then for 2 s.
     table = table_of(2)
     table.mark_failed("s1", 1.0)
     assert usable(table, 1.0) == ["s1", "s2"]
@@ -139,11 +139,11 @@
     assert times.hold_s == pytest.approx(0.9, rel=0.05)
 
 
-def test_vms_that_are_not_heard_have_as_much_as_those_that_are() -> None:
-    """Nine VMs share a region; this one hears four of the others, and servers report nothing.
+def test_counts_are_extrapolated_to_vms_without_heartbeats() -> None:
+    """In a region of nine VMs this one gets the counts of four, and servers send no reports.
 
-    Of 24 slots 16 are taken. With what is heard alone a server looks two thirds empty, and every
-    VM fills it up at the same time.
+    Of 24 slots 16 are in use. From the received counts alone a server looks two thirds empty, and
+    all VMs fill it at the same time.
     """
     table = table_of(1)
     table.prefill_rates.region_vms = 9
@@ -155,11 +155,11 @@
     assert (state.own_tokens, state.others_tokens) == (100, 4_000)
 
 
-def test_what_coordinators_send_to_be_read_is_not_taken_for_a_part_of_it() -> None:
-    """One VM for each server sends it nearly all that it has to read; of nine VMs five are heard.
+def test_prefill_of_coordinators_is_not_extrapolated() -> None:
+    """Each server gets nearly all its prefill from its coordinator; counts cover five of nine VMs.
 
-    As much again for those that aren't heard would make a server look busy that has read it all
-    in a moment, just because its coordinator is among the neighbours.
+    Extrapolated to the other VMs, the count of a server's coordinator would make a server look busy
+    that finishes this prefill shortly, only because its coordinator is a neighbour.
     """
     table = table_of(1)
     table.prefill_rates.region_vms = 9
@@ -170,7 +170,7 @@
     assert (state.others_requests, state.others_tokens) == (16, 2_000)
 
 
-def test_reports_tell_of_vms_that_are_not_heard() -> None:
+def test_full_reports_replace_extrapolated_counts() -> None:
     table = table_of(1)
     table.prefill_rates.region_vms = 9
     table.observe_peer("vm-2", {"s1": InFlight(requests=2)}, 1.0)
@@ -178,69 +178,69 @@
     assert requests(table, 1.5) == 7
 
 
-def glimpse(at_unix_s: float, running: int, waiting: int = 0) -> LoadReport:
-    """Return what server s1 told with an answer."""
+def partial_report(at_unix_s: float, running: int, waiting: int = 0) -> LoadReport:
+    """Return a report that server s1 sent with an answer."""
     return LoadReport(
         server="s1", measured_unix_s=at_unix_s, running=running, waiting=waiting, is_partial=True
     )
 
 
-def in_region_of(vms: int, heard: int, hold_s: float = 2.0) -> LoadTable:
-    """Return the table of a VM that hears some of its region's, each with one request on s1."""
+def table_in_region(vms: int, counted_vms: int, hold_s: float = 2.0) -> LoadTable:
+    """Return a table with counts from some of the region's VMs, each with one request on s1."""
     table = table_of(1)
     table.prefill_rates.region_vms = vms
-    for number in range(heard):
+    for number in range(counted_vms):
         table.observe_peer(f"vm-{number}", {"s1": InFlight(requests=1)}, 1.0)
     for _ in range(500):
         table.service_times(POOL).observe_finish(hold_s)
     return table
 
 
-def test_what_a_server_tells_with_an_answer_goes_before_what_few_vms_tell() -> None:
-    """A full server gets more requests, and an empty one none.
+def test_a_partial_report_overrides_counts_of_few_vms() -> None:
+    """A full server gets more requests, and an empty one gets none.
 
-    In a region of 65 VMs one hears 14 others. By chance these have little on a server that the
-    others have filled, so that it looks empty; the answer that it has just given says that it runs
-    twelve requests.
+    In a region of 65 VMs each gets the counts of 14 others. By chance these can have few requests
+    on a server that the rest have filled, so that it looks empty, or many on an empty one. A report
+    that has just come with an answer shows that the server runs twelve requests.
     """
-    table = in_region_of(65, heard=14)
+    table = table_in_region(65, counted_vms=14)
     assert requests(table, 1.0) > 50
 
-    table.observe_partial_report(glimpse(1.0, running=12), 1.0)
+    table.observe_partial_report(partial_report(1.0, running=12), 1.0)
 
     assert requests(table, 1.0) == 12
 
 
-def test_an_old_glimpse_counts_less_than_what_is_heard() -> None:
-    table = in_region_of(65, heard=14, hold_s=0.02)
-    heard = requests(table, 1.0)
-    table.observe_partial_report(glimpse(1.0, running=2), 1.0)
+def test_an_old_partial_report_gives_way_to_peers_counts() -> None:
+    table = table_in_region(65, counted_vms=14, hold_s=0.02)
+    extrapolated = requests(table, 1.0)
+    table.observe_partial_report(partial_report(1.0, running=2), 1.0)
 
-    assert requests(table, 1.5) == heard
+    assert requests(table, 1.5) == extrapolated
 
 
-def test_a_glimpse_leaves_out_what_this_vm_has_placed_since() -> None:
+def test_requests_placed_after_a_partial_report_are_added() -> None:
     table = table_of(1)
     table.charge("r1", "s1", 100, 0.5)
-    table.observe_partial_report(glimpse(1.0, running=3), 1.0)
+    table.observe_partial_report(partial_report(1.0, running=3), 1.0)
     table.charge("r2", "s1", 100, 1.1)
 
     assert requests(table, 1.1) == 4
 
 
-def test_a_glimpse_says_nothing_of_prompts() -> None:
+def test_a_partial_report_leaves_token_counts_unchanged() -> None:
     table = table_of(1)
     table.observe_peer("vm-2", {"s1": InFlight(requests=2, tokens=9_000)}, 1.0)
-    table.observe_partial_report(glimpse(1.1, running=2), 1.1)
+    table.observe_partial_report(partial_report(1.1, running=2), 1.1)
 
     [state] = table.usable(POOL, 1.1)
     assert state.others_tokens == 9_000
 
 
-def test_peers_are_told_of_fresh_glimpses_only() -> None:
+def test_only_fresh_partial_reports_are_sent_to_peers() -> None:
     table = table_of(1)
-    told = glimpse(1.0, running=2)
-    table.observe_partial_report(told, 1.0)
+    fresh = partial_report(1.0, running=2)
+    table.observe_partial_report(fresh, 1.0)
 
-    assert table.partial_reports(2.0) == [told]
+    assert table.partial_reports(2.0) == [fresh]
     assert table.partial_reports(4.0) == []
--- a/tests/test_outliers.py
+++ b/tests/test_outliers.py
@@ -1,4 +1,4 @@
-"""A server that does far worse than the others of its pool is found by what it answers."""
+"""A server that fails far more often or answers far later than its pool is an outlier."""
 
 from pomelobarrow.decision.outliers import ANSWERS_LATE, FAILS_OFTEN, MIN_SAMPLES, OutlierDetector
 
@@ -6,7 +6,7 @@
 
 
 def detector(**answers: tuple[float, float]) -> OutlierDetector:
-    """Return a detector that has seen, of each server, a share of failures and a slowness."""
+    """Return a detector with 40 samples per server, given its failure share and latency ratio."""
     found = OutlierDetector()
     for server, (failing_share, latency_ratio) in answers.items():
         for number in range(40):
@@ -15,17 +15,17 @@
     return found
 
 
-def test_server_that_fails_a_part_of_its_requests_is_found() -> None:
+def test_server_that_fails_part_of_its_requests_is_an_outlier() -> None:
     """Two fifths of a server's answers are failures, each followed by a success.
 
-    Failures in a row never come, so that nothing else leaves it out, and every second request of
-    its clients fails.
+    Without consecutive failures no other check ejects the server, and nearly every second request
+    of its clients keeps failing.
     """
     found = detector(a=(0.4, 1.0), b=(0.04, 1.0), c=(0.04, 1.0))
     assert [found.outlier_reason(name, POOL) for name in POOL] == [FAILS_OFTEN, "", ""]
 
 
-def test_slow_server_is_found() -> None:
+def test_slow_server_is_an_outlier() -> None:
     found = detector(a=(0.0, 8.0), b=(0.0, 1.0), c=(0.0, 1.2))
     assert [found.outlier_reason(name, POOL) for name in POOL] == [ANSWERS_LATE, "", ""]
 
@@ -39,14 +39,14 @@
     assert detector(a=(1.0, 9.0)).outlier_reason("a", ("a",)) == ""
 
 
-def test_few_answers_say_nothing() -> None:
+def test_too_few_samples_make_no_outlier() -> None:
     found = detector(b=(0.0, 1.0), c=(0.0, 1.0))
     for _ in range(MIN_SAMPLES - 1):
         found.observe("a", True, None)
     assert found.outlier_reason("a", POOL) == ""
 
 
-def test_forgotten_server_proves_itself_anew() -> None:
+def test_forgotten_server_starts_without_samples() -> None:
     found = detector(a=(0.9, 1.0), b=(0.0, 1.0), c=(0.0, 1.0))
     found.forget("a")
     assert found.outlier_reason("a", POOL) == ""
--- a/tests/test_prefill_rates.py
+++ b/tests/test_prefill_rates.py
@@ -1,4 +1,4 @@
-"""How busy servers are with reading, from what one of a region's VMs sends."""
+"""Servers' prefill shares, estimated from what one VM and its neighbours send to them."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 def sent(vms: int) -> PrefillRates:
-    """Return what was sent for ten seconds: 9,000 tokens a second to s1, 1,000 to s2."""
+    """Return the rates after ten seconds with 9,000 tokens per second to s1 and 1,000 to s2."""
     rates = PrefillRates(region_vms=vms)
     for tick in range(1_000):
         rates.add("s1", "p", 90, tick * 0.01)
@@ -21,13 +21,13 @@
     return rates.share(server, of_pool, S_PER_TOKEN, 10.0)
 
 
-def test_few_vms_tell_the_servers_apart() -> None:
+def test_in_a_small_region_own_requests_distinguish_servers() -> None:
     rates = sent(vms=2)
     assert share(rates, "s1") == pytest.approx(0.18, rel=0.05)
     assert share(rates, "s2") == pytest.approx(0.02, rel=0.05)
 
 
-def test_many_vms_take_the_pools_mean() -> None:
+def test_in_a_large_region_the_pools_mean_is_used() -> None:
     rates = sent(vms=20)
     mean = rates.share_of_pool("p", 2, S_PER_TOKEN, 10.0)
     assert mean == pytest.approx(1.0, rel=0.05)
@@ -42,13 +42,13 @@
 
 
 def region_of_65(own_tokens: int, neighbours_tokens: int) -> PrefillRates:
-    """Return one VM's rates: it and 14 neighbours of 64 have each just sent a prompt or none."""
+    """Return the rates of a VM with 14 neighbours, each of which just sent a prompt or none."""
     rates = PrefillRates(region_vms=65)
     if own_tokens:
         rates.add("s1", "p", own_tokens, 10.0)
-    told = sent_once(neighbours_tokens)
+    peer_rate = sent_once(neighbours_tokens)
     for number in range(14):
-        rates.observe_peer(f"vm-{number}", "p", told, 10.0)
+        rates.observe_peer(f"vm-{number}", "p", peer_rate, 10.0)
     return rates
 
 
@@ -58,28 +58,29 @@
     return rates.own_tokens_per_s("p", 10.0)
 
 
-def test_one_prompt_of_a_vm_among_many_does_not_make_its_region_look_busy() -> None:
-    """Long prompts pile up in a full region while another's engines are nearly idle.
+def test_one_prompt_in_a_large_region_does_not_make_it_look_busy() -> None:
+    """Long prompts queue in a full region while another region's engines are nearly idle.
 
-    A VM of the idle region has just sent a long prompt. Taken for what each of the 65 VMs sends, it
-    makes the engines look to read five times as much as they can, and the others are told so.
+    A VM of the idle region has just sent a long prompt. If it assumed that each of the 65 VMs sends
+    as much, the engines would appear to prefill five times as much as they can, and the VM would
+    send this estimate to other regions.
     """
     alone = PrefillRates(region_vms=65)
     alone.add("s1", "p", 30_000, 10.0)
     assert alone.share_of_pool("p", 8, S_PER_TOKEN, 10.0) > 1.0
 
-    heard = region_of_65(own_tokens=30_000, neighbours_tokens=0)
+    rates = region_of_65(own_tokens=30_000, neighbours_tokens=0)
 
-    assert heard.share_of_pool("p", 8, S_PER_TOKEN, 10.0) < 0.1
+    assert rates.share_of_pool("p", 8, S_PER_TOKEN, 10.0) < 0.1
 
 
-def test_a_vm_that_sends_nothing_hears_how_busy_its_region_is() -> None:
+def test_a_vm_without_prompts_sees_its_regions_load_through_neighbours() -> None:
     rates = region_of_65(own_tokens=0, neighbours_tokens=30_000)
 
     assert rates.share_of_pool("p", 8, S_PER_TOKEN, 10.0) > 1.0
 
 
-def test_where_all_are_heard_the_rates_are_added_up() -> None:
+def test_rates_are_summed_without_extrapolation_if_all_vms_send_them() -> None:
     rates = PrefillRates(region_vms=3)
     for vm in ("vm-2", "vm-3"):
         rates.observe_peer(vm, "p", 1_000.0, 10.0)
@@ -87,7 +88,7 @@
     assert rates.share_of_pool("p", 1, S_PER_TOKEN, 10.0) == pytest.approx(0.02)
 
 
-def test_what_a_neighbour_told_fades_and_goes_with_it() -> None:
+def test_a_neighbours_rate_decays_and_is_dropped_with_it() -> None:
     rates = PrefillRates(region_vms=2)
     rates.observe_peer("vm-2", "p", 1_000.0, 10.0)
     assert rates.share_of_pool("p", 1, S_PER_TOKEN, 40.0) < 1e-6
@@ -97,7 +98,7 @@
 
 
 @pytest.mark.parametrize("wrong", [float("nan"), float("inf"), -1.0])
-def test_a_rate_that_makes_no_sense_is_left_out(wrong: float) -> None:
+def test_an_invalid_rate_is_ignored(wrong: float) -> None:
     rates = PrefillRates(region_vms=2)
     rates.observe_peer("vm-2", "p", wrong, 10.0)
 
--- a/tests/test_region_choice.py
+++ b/tests/test_region_choice.py
@@ -1,4 +1,4 @@
-"""Work leaves its home only where it may, where that helps, and within its class's share."""
+"""A request leaves its home region only if allowed, if it helps, and within its class's share."""
 
 from collections import Counter
 from random import Random
@@ -51,7 +51,7 @@
     home_servers=st.integers(0, 3),
     own_region=st.sampled_from((REGION, *OTHERS)),
 )
-def test_home_bound_work_never_leaves_whatever_the_view_says(
+def test_home_bound_work_never_leaves_home_at_any_load(
     waits_s: list[float], age_s: float, home_servers: int, own_region: str
 ) -> None:
     home = load(wait_s=waits_s[0], servers=home_servers, measured_unix_s=NOW_UNIX_S - age_s)
@@ -70,7 +70,7 @@
     assert choice == RegionChoice(region="warsaw", reason=RegionReason.HOME_OVERLOADED)
 
 
-def test_a_cold_cache_elsewhere_counts() -> None:
+def test_prefill_in_another_region_counts() -> None:
     choice = choose(work(), load(wait_s=20.0), load("warsaw", cold_prefill_s=9.5))
     assert choice == RegionChoice(region=REGION, reason=RegionReason.HOME_IS_FASTEST)
 
@@ -94,7 +94,7 @@
 
 @pytest.mark.parametrize("servers", [0, 9], ids=["no servers", "silent"])
 def test_work_leaves_a_lost_home(servers: int) -> None:
-    # Milan's link is cut, or its servers are gone. An old load of it looks as good as ever.
+    # The home region's link is cut, or its servers are gone. Its last known load still looks good.
     old_unix_s = NOW_UNIX_S - 60.0 if servers else NOW_UNIX_S
     home = load(servers=servers, measured_unix_s=old_unix_s)
     choice = choose(work(), home, load("warsaw"), own_region="warsaw")
@@ -106,7 +106,8 @@
 
 
 def test_a_region_that_came_back_takes_its_work_slowly() -> None:
-    # Milan was lost and is back with cold caches. All its work at once would fill it with prefill.
+    # The home region recovers from a loss with cold caches. If all its work returned at once, the
+    # prefill would overload it.
     def share_at_home(back_for_s: float) -> float:
         back = load(returned_unix_s=NOW_UNIX_S - back_for_s)
         loads = {each.region: each for each in (back, load("warsaw"))}
@@ -122,7 +123,7 @@
 
 
 class ShareMachine(RuleBasedStateMachine):
-    """Several VMs record their own choices; the sum keeps the share."""
+    """Several VMs record their own choices; together they stay within the share."""
 
     MAX_SHARE = 0.3
 
--- a/tests/test_region_cost.py
+++ b/tests/test_region_cost.py
@@ -1,4 +1,4 @@
-"""A request's cost in another region, by what was last heard of it."""
+"""A request's cost in another region, by that region's last known load."""
 
 import pytest
 from attrs import evolve
@@ -33,12 +33,12 @@
     assert busy_cost.cost_s == pytest.approx(quiet_cost.cost_s + pause_s)
 
 
-def test_old_news_counts_for_nothing() -> None:
+def test_stale_load_is_ignored() -> None:
     old = evolve(LOAD, least_disturbed=BUSY, measured_unix_s=NOW - 60.0)
     cost = region_cost(old, PREFILL, NOW)
     assert abs(cost.first_answer_s - 0.32) < 1e-9
 
 
-def test_region_never_heard_is_as_far_as_regions_are() -> None:
+def test_unknown_region_gets_the_default_round_trip() -> None:
     cost = region_cost(None, PREFILL, NOW)
     assert abs(cost.first_answer_s - 2.0 * UNKNOWN_ROUND_TRIP_S - 0.1) < 1e-9
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Routes are found by host and the longest prefix."""
+"""Routes are looked up by host and by the longest matching path prefix."""
 
 from random import Random
 
--- a/tests/test_server_choice.py
+++ b/tests/test_server_choice.py
@@ -1,4 +1,4 @@
-"""A request goes where its first token comes soonest, its prefix's cache counted."""
+"""A request goes to the server with the earliest first token, given the prefixes it has cached."""
 
 from collections import Counter
 from random import Random
@@ -58,10 +58,10 @@
 
 
 def test_a_short_queue_at_the_warm_server_is_waited_for() -> None:
-    """A long shared prompt comes while its warm server has a queue a little longer than reading it.
+    """The warm server of a long shared prompt has a queue slightly longer than its prefill.
 
-    Sent to an empty server it would begin a little sooner, be read there again, hold up what comes
-    next and take a second cache's room; groups ended up on most servers of their pool.
+    An empty server would start it slightly earlier, but prefill it again, delay the requests after
+    it and store it in a second cache; groups would spread over most servers of their pool.
     """
     table = table_of(2)
     table.prefixes.observe_placement("s1", PREFIX)
@@ -80,8 +80,8 @@
 
 
 def test_the_prefix_index_holds_no_more_than_the_engine() -> None:
-    # An eviction's event is lost. The index forgets the oldest blocks by itself once newer ones
-    # fill the engine's cache, so that prompts don't go on to a server that computes them again.
+    # An eviction event is lost. The index itself drops the oldest blocks once newer ones fill the
+    # engine's cache; otherwise prompts would still go to a server that has to compute them again.
     table = table_of(1)
     capacity = SERVER.kv_capacity_tokens // 128
     table.prefixes.observe_placement("s1", PREFIX)
@@ -90,7 +90,7 @@
     assert table.prefixes.cached_tokens("s1", PREFIX) == 0
 
 
-def test_vms_that_know_nothing_send_a_group_to_the_same_server() -> None:
+def test_vms_without_cache_data_send_a_group_to_the_same_server() -> None:
     chosen = {
         table.group_servers(POOL, key)[0].name
         for table in (table_of(5), table_of(5))
@@ -106,14 +106,14 @@
     assert choose(table, work()) is None
 
 
-def test_trial_work_leaves_the_last_places_to_paying_work() -> None:
+def test_trial_work_leaves_the_last_slots_to_paying_work() -> None:
     table = table_of(1)
     fill(table, "s1", 4)
     assert choose(table, trial()) is None
     assert choose(table, work()) is not None
 
 
-def test_a_server_whose_kv_memory_is_taken_has_no_room() -> None:
+def test_a_server_with_full_kv_cache_has_no_capacity() -> None:
     table = table_of(1)
     table.charge("large", "s1", 10, 1.0, kv_tokens=SERVER.kv_capacity_tokens)
     assert choose(table, work()) is None
@@ -135,8 +135,8 @@
 
 
 def test_a_freed_slot_goes_to_the_waiting_prompt_it_is_warm_for() -> None:
-    # All servers are full for a while. Each freed slot taken by whoever is first would leave every
-    # prompt with a cold cache, and the prefill would keep the pool full for good.
+    # All servers are full for a while. If each freed slot went to the head of the queue, every
+    # prompt would be uncached on its server, and the prefill would keep the pool full permanently.
     table, queue = table_of(2), WorkQueue(POOL)
     table.prefixes.observe_placement("s1", PREFIX)
     fill(table, "s2", 5)
@@ -162,9 +162,9 @@
 
 
 def test_states_read_once_for_two_choices_choose_the_same_servers() -> None:
-    """A request is placed among the near servers first and then among all.
+    """A request is placed among the nearby servers first and then among all servers.
 
-    Both choices are of one moment, so that the states of the first serve the second.
+    Both choices are made at the same time, so that the second reuses the states of the first.
     """
     for seed in range(40):
         random = Random(seed)
--- a/tests/test_server_choice_trial.py
+++ b/tests/test_server_choice_trial.py
@@ -1,4 +1,4 @@
-"""Trial prompts stay out of the way of paying ones in an engine's prefill."""
+"""Trial prompts don't delay paying ones in an engine's prefill."""
 
 from random import Random
 
@@ -51,12 +51,12 @@
 
 
 def is_placed(table: LoadTable, rank: Rank) -> bool:
-    """Say whether a new request of a rank gets a place."""
+    """Return whether a new request of a rank is placed."""
     return choose_server(table, work(rank), NOW_UNIX_S, Random(1), frozenset()) is not None
 
 
 def test_trial_work_waits_while_a_prompt_is_to_be_computed(table: LoadTable) -> None:
-    # A paying caller would else wait at the engine for all trial prompts started before its own.
+    # Otherwise a paying request would wait at the engine for all trial prompts started before it.
     assert not is_placed(table, Rank.TRIAL)
 
 
--- a/tests/test_server_pauses.py
+++ b/tests/test_server_pauses.py
@@ -1,12 +1,12 @@
-"""Servers whose streams pause too long are known by it for a moment."""
+"""A server whose streams pause too long counts as late for a short time."""
 
 import pytest
 
 from pomelobarrow.decision.server_pauses import ServerPauses
 
 
-def test_late_pause_makes_a_server_known_and_fades() -> None:
-    """An engine turns slow while its first answers still come in time."""
+def test_late_pause_marks_a_server_and_decays() -> None:
+    """An engine becomes slow while its first answers are still on time."""
     pauses = ServerPauses()
     pauses.observe("s1", 1.0, 0.4, 10.0)
     assert pauses.late_share("s1", 10.0) == 1.0
@@ -14,7 +14,7 @@
     assert pauses.late_share("s2", 10.0) == 0.0
 
 
-def test_pause_on_time_says_nothing() -> None:
+def test_pause_on_time_is_ignored() -> None:
     pauses = ServerPauses()
     pauses.observe("s1", 0.3, 0.4, 10.0)
     assert pauses.late_share("s1", 10.0) == 0.0
@@ -27,7 +27,7 @@
     assert pauses.late_share("s1", 10.1) == 1.0
 
 
-def test_restarted_server_is_not_known_by_its_pauses() -> None:
+def test_pauses_are_dropped_when_a_server_restarts() -> None:
     pauses = ServerPauses()
     pauses.observe("s1", 1.0, 0.4, 10.0)
     pauses.forget("s1")
--- a/tests/test_stream_pauses.py
+++ b/tests/test_stream_pauses.py
@@ -1,4 +1,4 @@
-"""What a prompt's reading costs the streams of an engine."""
+"""The cost of a prompt's prefill to the streams of an engine."""
 
 import pytest
 from attrs import evolve
@@ -25,7 +25,9 @@
         (evolve(QUIET, seen_late_share=0.7), 0.7),
     ],
 )
-def test_streams_are_late_by_backlog_reading_or_sight(engine: EngineLoad, share: float) -> None:
+def test_streams_are_late_by_backlog_prefill_share_or_observation(
+    engine: EngineLoad, share: float
+) -> None:
     assert late_share(engine, TARGET.gap_s) == pytest.approx(share)
 
 
--- a/tests/work_builders.py
+++ b/tests/work_builders.py
@@ -1,4 +1,4 @@
-"""Build work and backend servers for the tests of the policy."""
+"""Build requests, backend servers, reports and load tables for the tests of the decision logic."""
 
 from typing import Any
 
@@ -54,7 +54,7 @@
 
 
 def table_of(count: int) -> LoadTable:
-    """Return a table that knows some servers and no load."""
+    """Return a table with the given number of servers and no load."""
     table = LoadTable(REGION)
     table.set_servers(servers(count))
     return table
