--- a/src/pomelobarrow/decision/local_choice.py
+++ b/src/pomelobarrow/decision/local_choice.py
@@ -69,21 +69,23 @@
         states: StateReader,
         now_unix_s: float,
     ) -> Placement | None:
-        """Return a server of this VM's own failure domain if one is free and has the prompt cached.
+        """Return a free server of this VM's own failure domain; for long shared prompts a warm one.
 
         Traffic between failure domains is charged and gains nothing while a nearby server is free.
         """
         work = request.work
         servers = self.table.pool_servers(work.pool)
-        other_domains = {s.name for s in servers if s.failure_domain != self.own_failure_domain}
-        if not other_domains or len(other_domains) == len(servers):
+        other_domain_names = {
+            s.name for s in servers if s.failure_domain != self.own_failure_domain
+        }
+        if not other_domain_names or len(other_domain_names) == len(servers):
             return None
         nearby = choose_server(
             self.table,
             work,
             now_unix_s,
             self.rng,
-            excluded_names | other_domains,
+            excluded_names | other_domain_names,
             _has_queue_capacity,
             states,
         )
--- a/tests/test_prefill_rates.py
+++ b/tests/test_prefill_rates.py
@@ -42,7 +42,7 @@
 
 
 def region_of_65(own_tokens: int, neighbours_tokens: int) -> PrefillRates:
-    """Return the rates of a VM with 14 neighbours, each of which just sent a prompt or none."""
+    """Return the rates of a VM that counts 14 of 64 others, each with one prompt or none."""
     rates = PrefillRates(region_vms=65)
     if own_tokens:
         rates.add("s1", "p", own_tokens, 10.0)
