--- a/bench/profile/region.py
+++ b/bench/profile/region.py
@@ -24,7 +24,7 @@
 from pomelobarrow.dispatch.local import LocalDispatch
 from pomelobarrow.peers import peers_pb2 as pb
 from pomelobarrow.peers.grid import neighbours
-from pomelobarrow.peers.heartbeats import Heartbeats, SentNews
+from pomelobarrow.peers.heartbeats import Heartbeats, SentUpdates
 from pomelobarrow.peers.region_loads import RegionLoads
 from pomelobarrow.published.keyspaces import CONFIG, VMS, PublishedState
 
@@ -76,7 +76,7 @@
     random: Random
     running: deque[tuple[float, str, str]] = field(factory=deque)
     # What each node has told and heard of on the stream that it shares with another.
-    sent: dict[str, SentNews] = field(factory=dict)
+    sent: dict[str, SentUpdates] = field(factory=dict)
     placed: int = 0
 
 
@@ -145,16 +145,16 @@
         return sorted(self.nodes[vm].heartbeats.neighbours.all)
 
     def _beat(self, sender: _Node, receiver: _Node) -> None:
-        sent = sender.sent.setdefault(receiver.vm, SentNews())
+        sent = sender.sent.setdefault(receiver.vm, SentUpdates())
         heartbeat = sender.heartbeats.full(receiver.vm, same_region=True, sent=sent)
         heard = self._pass(pb.PeerMessage(heartbeat=heartbeat)).heartbeat
-        receiver.heartbeats.take(heard, receiver.sent.setdefault(sender.vm, SentNews()))
-        question = receiver.heartbeats.ask_for_members(heard)
+        receiver.heartbeats.take(heard, receiver.sent.setdefault(sender.vm, SentUpdates()))
+        question = receiver.heartbeats.missing_members_request(heard)
         if question is None:
             return
         asked = self._pass(question).member_request
         for answer in sender.heartbeats.describe_members(asked):
-            receiver.heartbeats.take_members(self._pass(answer).member_descriptions, sender.vm)
+            receiver.heartbeats.receive_members(self._pass(answer).member_descriptions, sender.vm)
 
     def _pass(self, message: pb.PeerMessage) -> pb.PeerMessage:
         data = message.SerializeToString()
@@ -245,11 +245,13 @@
         )
 
 
-def other_members(size: RegionSize, heard_unix_s: float) -> list[Member]:
+def other_members(size: RegionSize, last_seen_unix_s: float) -> list[Member]:
     """Return the daemons of the other regions."""
     numbers = range(size.other_daemons)
     regions = max(1, size.other_regions)
-    return [_member(f"r{1 + n % regions:02d}", f"x-vm{n:03d}", n, heard_unix_s) for n in numbers]
+    return [
+        _member(f"r{1 + n % regions:02d}", f"x-vm{n:03d}", n, last_seen_unix_s) for n in numbers
+    ]
 
 
 def published_state(size: RegionSize) -> PublishedState:
@@ -319,7 +321,7 @@
     }
 
 
-def _member(region: str, vm: str, number: int, heard_unix_s: float = 0.0) -> Member:
+def _member(region: str, vm: str, number: int, last_seen_unix_s: float = 0.0) -> Member:
     address = f"10.0.{number // 250}.{number % 250}"
     return Member(
         vm=vm,
@@ -328,7 +330,7 @@
         failure_domain=f"{region}-{'ab'[number % 2]}",
         caller_address=f"{address}:8080",
         peer_address=f"{address}:8090",
-        heard_unix_s=heard_unix_s,
+        last_seen_unix_s=last_seen_unix_s,
     )
 
 
--- a/src/pomelobarrow/backends/plugin.py
+++ b/src/pomelobarrow/backends/plugin.py
@@ -21,16 +21,16 @@
 from pomelobarrow.decision.orders import OrderBook
 from pomelobarrow.decision.server_limits import ServerLimits, parse_limit
 from pomelobarrow.decision.work import BackendServer, Placement
+from pomelobarrow.dispatch.advertised_limits import record_advertised_limit
 from pomelobarrow.dispatch.answers import AnswerSink, AttemptResult
 from pomelobarrow.dispatch.local import AttemptRunner, LocalDispatch
-from pomelobarrow.dispatch.named_limits import note_named_limit
 from pomelobarrow.dispatch.request import GatewayRequest
 from pomelobarrow.dispatch.resumed import RestFetcher
 from pomelobarrow.kernel.clock import now_unix_s
 from pomelobarrow.kernel.context import Context
 from pomelobarrow.kernel.hooks import PhasedService, StartPhase, hookimpl
 from pomelobarrow.operators.traces import Traces
-from pomelobarrow.peers.events import PauseNoticed
+from pomelobarrow.peers.events import ProcessPauseDetected
 from pomelobarrow.published.keyspaces import PublishedState
 
 ATTEMPT_BY_IS_CHAT = {True: EngineAttempt, False: ServiceAttempt}
@@ -87,7 +87,7 @@
     @hookimpl
     def observe(self, event: object) -> None:
         """Distrust the ownership of engines after a pause."""
-        if isinstance(event, PauseNoticed):
+        if isinstance(event, ProcessPauseDetected):
             self._context.get(OrderBook).observe_pause(now_unix_s())
 
 
@@ -131,7 +131,7 @@
 def _note_limit(context: Context, server: BackendServer, headers: Mapping[str, str]) -> None:
     per_s = parse_limit(headers.get(SERVER_LIMIT_HEADER, ""))
     table = context.get(LoadTable)
-    note_named_limit(table, server, per_s, SERVER_LIMIT_HEADER, context.observe)
+    record_advertised_limit(table, server, per_s, SERVER_LIMIT_HEADER, context.observe)
 
 
 def _fetcher(context: Context) -> RestFetcher:
@@ -183,7 +183,7 @@
         servers=lambda: _reporting_servers(context),
         live_vms=lambda: _live_vms(context),
         is_engine=lambda server: _is_engine(context, server),
-        on_report=lambda pool: context.get(LocalDispatch).pump(pool),
+        on_report=lambda pool: context.get(LocalDispatch).place_waiting(pool),
     )
 
 
