--- a/src/pomelobarrow/decision/load_table.py
+++ b/src/pomelobarrow/decision/load_table.py
@@ -103,8 +103,10 @@
             return
         clock = self._clocks[report.server]
         measured_unix_s = clock.local_unix_s(report.measured_unix_s, received_unix_s)
-        near = {vm: peer.near(report.server, measured_unix_s) for vm, peer in self._peers.items()}
-        load.observe_report(report, measured_unix_s, near)
+        peer_counts = {
+            vm: peer.near(report.server, measured_unix_s) for vm, peer in self._peers.items()
+        }
+        load.observe_report(report, measured_unix_s, peer_counts)
 
     def observe_partial_report(self, report: LoadReport, now_unix_s: float) -> None:
         """Update a server's load by a report that came with an answer, and keep it for peers."""
--- a/src/pomelobarrow/decision/placement.py
+++ b/src/pomelobarrow/decision/placement.py
@@ -135,7 +135,7 @@
     """Refuse a stream for which even the best server would answer too late."""
     if not request.work.prompt_tokens:
         return decision
-    if is_worth_taking(_promise(request), expected_s, now_unix_s):
+    if is_worth_taking(_expectations(request), expected_s, now_unix_s):
         return decision
     return NoPlacement(reason=ALL_SERVERS_LATE, wait_s=expected_s)
 
@@ -145,7 +145,7 @@
     return request.is_long or is_late(request, local)
 
 
-def _promise(request: PlacementRequest) -> StreamExpectations:
+def _expectations(request: PlacementRequest) -> StreamExpectations:
     route, work = request.route, request.work
     granted_s = work.deadline_unix_s - work.accepted_unix_s
     return StreamExpectations(
--- a/tests/test_region_choice.py
+++ b/tests/test_region_choice.py
@@ -51,7 +51,7 @@
     home_servers=st.integers(0, 3),
     own_region=st.sampled_from((REGION, *OTHERS)),
 )
-def test_home_bound_work_never_leaves_home_at_any_load(
+def test_home_bound_work_stays_at_home_at_any_load(
     waits_s: list[float], age_s: float, home_servers: int, own_region: str
 ) -> None:
     home = load(wait_s=waits_s[0], servers=home_servers, measured_unix_s=NOW_UNIX_S - age_s)
@@ -143,11 +143,11 @@
         self.recent = [*self.recent, outside][-20:]
 
     @invariant()
-    def the_sum_keeps_the_share(self) -> None:
+    def all_requests_together_stay_within_the_share(self) -> None:
         assert self.outside <= self.MAX_SHARE * self.total + 1e-6
 
     @invariant()
-    def no_stretch_passes_the_share_by_more_than_the_credit(self) -> None:
+    def recent_requests_exceed_the_share_by_at_most_the_credit(self) -> None:
         credit = MAX_SHARE_CREDIT * len(self.shares)
         assert sum(self.recent) <= self.MAX_SHARE * len(self.recent) + credit + 1e-6
 
--- a/tests/test_server_choice.py
+++ b/tests/test_server_choice.py
@@ -39,7 +39,7 @@
     assert set(taken.values()) == {4}
 
 
-def test_a_cached_prefix_draws_a_request_to_its_server() -> None:
+def test_a_cached_prefix_attracts_a_request_to_its_server() -> None:
     table = table_of(4)
     table.prefixes.observe_placement("s3", PREFIX)
     placement = choose(table, REPOSITORY)
@@ -71,7 +71,7 @@
     assert placement.server.name == "s1"
 
 
-def test_an_evicted_prefix_no_longer_draws() -> None:
+def test_an_evicted_prefix_no_longer_counts() -> None:
     table = table_of(2)
     table.prefixes.observe_placement("s1", PREFIX)
     for block in PREFIX:
--- a/tests/test_server_incarnations.py
+++ b/tests/test_server_incarnations.py
@@ -1,4 +1,4 @@
-"""A backend server that starts again under its name is another server."""
+"""A backend server that restarts under the same name is a new incarnation, without old state."""
 
 from attrs import evolve
 
@@ -46,7 +46,7 @@
     return table.usable("p", now_unix_s)[0].requests
 
 
-def news(table: LoadTable, server: BackendServer) -> ServerUpdates:
+def updates_of(table: LoadTable, server: BackendServer) -> ServerUpdates:
     return ServerUpdates(table=table, servers=lambda: {server.name: server}, own_reports=lambda: ())
 
 
@@ -56,14 +56,14 @@
     return heartbeat
 
 
-def take(receiver: ServerUpdates, heartbeat: pb.Heartbeat) -> None:
+def deliver(receiver: ServerUpdates, heartbeat: pb.Heartbeat) -> None:
     receiver.take(heartbeat, LinkKind.ROW, 10.0, float)
 
 
-def test_restarted_server_holds_nothing_of_before() -> None:
-    """A server crashes with requests and a cached prompt and is back under its name.
+def test_restarted_server_starts_without_previous_state() -> None:
+    """A server crashes with requests and a cached prompt, and restarts under the same name.
 
-    Were it still taken as full and warm, it would get none of the new work it could do, and long
+    If it still counted as full and warm, it would get no new requests although it is idle, or long
     prompts for a cache that is empty.
     """
     table = table_of(FIRST)
@@ -77,8 +77,8 @@
     assert not table.prefixes.holds("s1", BLOCKS[0])
 
 
-def test_late_end_of_the_earlier_incarnation_takes_nothing_off_the_new_one() -> None:
-    """A request was under way when its server restarted; its connection ends only later."""
+def test_request_ending_after_a_restart_does_not_reduce_the_new_count() -> None:
+    """A request was in flight when its server restarted; its connection ends only later."""
     table = table_of(FIRST)
     table.charge("r1", "s1", 500, 1.0)
     table.set_servers([SECOND])
@@ -87,17 +87,17 @@
     assert requests_at(table) == 1
 
 
-def test_ejection_ends_with_the_incarnation() -> None:
+def test_restarted_server_is_not_ejected() -> None:
     table = table_of(FIRST, OTHER)
     table.eject("s1", 1.0)
     table.set_servers([SECOND, OTHER])
     assert not table.is_ejected("s1", 1.1)
 
 
-def test_failure_of_the_earlier_incarnation_is_not_held_against_the_new_one() -> None:
-    """Requests that the crash broke off end after the server is listed anew.
+def test_failures_before_a_restart_do_not_eject_the_new_incarnation() -> None:
+    """Requests that a crash broke off end after the restarted server is listed.
 
-    Each would count as a failure of the new incarnation, which would be ejected while healthy.
+    If each counted as a failure of the new incarnation, it would be ejected while healthy.
     """
     table = table_of(FIRST, OTHER)
     monitor = ServerHealthMonitor(table=table, observe=lambda _: None)
@@ -107,11 +107,11 @@
     assert not table.is_ejected("s1", 1.0)
 
 
-def test_server_that_vanished_and_came_back_counts_its_peers_requests_once() -> None:
-    """A server's entry lapses and returns while a peer has requests there.
+def test_peers_requests_count_once_after_a_server_is_delisted_and_relisted() -> None:
+    """A server's entry expires and returns while a peer has requests there.
 
-    Taken off again when the peer's count changes, they would make the server look emptier than it
-    is for as long as it lives.
+    If they were subtracted again when the peer's count changes, the server would look less loaded
+    than it is until it restarts.
     """
     table = table_of(FIRST)
     table.observe_peer("vm-b", {"s1": InFlight(requests=3, tokens=90)}, 1.0)
@@ -121,40 +121,43 @@
     assert requests_at(table) == 5
 
 
-def test_news_of_the_earlier_incarnation_is_not_taken_for_the_new_one() -> None:
-    """A peer that hasn't heard of the restart tells of its requests before it."""
+def test_update_about_the_previous_incarnation_is_ignored() -> None:
+    """A peer that hasn't received the restart yet sends its requests on the old incarnation."""
     old_table, new_table = table_of(FIRST), table_of(SECOND)
     old_table.charge("r1", "s1", 500, 1.0)
-    take(news(new_table, SECOND), heartbeat_of(news(old_table, FIRST)))
+    deliver(updates_of(new_table, SECOND), heartbeat_of(updates_of(old_table, FIRST)))
     assert requests_at(new_table) == 0
 
 
-def test_same_count_on_the_new_incarnation_is_news() -> None:
-    """One request was in flight before the restart and one is after it."""
+def test_equal_count_on_the_new_incarnation_is_sent() -> None:
+    """One request was in flight before the restart and another one is after it.
+
+    The count is the same, but it must be sent again as it is about another incarnation.
+    """
     servers = {"s1": FIRST}
     sender_table, receiver_table = table_of(FIRST), table_of(SECOND)
     sender = ServerUpdates(table=sender_table, servers=lambda: servers, own_reports=lambda: ())
-    receiver = news(receiver_table, SECOND)
+    receiver = updates_of(receiver_table, SECOND)
     sent = SentServers()
     sender_table.charge("r1", "s1", 500, 1.0)
-    take(receiver, heartbeat_of(sender, sent))
+    deliver(receiver, heartbeat_of(sender, sent))
     sender_table.set_servers([SECOND])
     servers = {"s1": SECOND}
     sender_table.charge("r2", "s1", 500, 2.0)
-    take(receiver, heartbeat_of(sender, sent))
+    deliver(receiver, heartbeat_of(sender, sent))
     assert requests_at(receiver_table) == 1
 
 
-def test_list_tells_the_start_of_an_incarnation() -> None:
+def test_vm_list_has_the_start_time_of_an_incarnation() -> None:
     listed = VmList()
     listed.update({"vms/s1": {**VM_VALUE, "born_unix_ms": 2_000}}, 1.0)
     assert listed.servers["s1"].born_unix_ms == 2_000
 
 
-def test_unusable_entry_ends_the_server_it_replaces_at_once() -> None:
-    """Another writer overwrites a server's entry with bytes that can't be read.
+def test_unusable_entry_removes_the_server_it_replaces_at_once() -> None:
+    """Another writer overwrites a server's entry with bytes that can't be decoded.
 
-    A lapsed lease keeps a server for a while; an entry that names no server doesn't.
+    After its lease expires, a server stays listed for a while; after an unusable entry it doesn't.
     """
     listed = VmList()
     listed.update({"vms/s1": VM_VALUE}, 1.0)
