--- a/bench/decisions/account_limits.py
+++ b/bench/decisions/account_limits.py
@@ -11,7 +11,7 @@
 from pomelobarrow.decision.configuration import Account
 from pomelobarrow.decision.demand import Demand
 from pomelobarrow.decision.limits import AccountLimits
-from pomelobarrow.decision.rate_meter import RateMeter
+from pomelobarrow.decision.rate_limiter import RateLimiter
 
 ACCOUNT = "shops"
 HEARTBEAT_S = 1.0
@@ -44,7 +44,7 @@
     """Give each VM the same part of the limit; a way to compare with."""
 
     vms: int
-    _meter: RateMeter = field(factory=RateMeter)
+    _meter: RateLimiter = field(factory=RateLimiter)
 
     def admit(self, account: Account, now_unix_s: float) -> Result[None, float]:
         """Admit within the even part."""
@@ -63,7 +63,7 @@
     """Give each VM its part of the demand as it sees it now; a way to compare with."""
 
     vms: int
-    _meter: RateMeter = field(factory=RateMeter)
+    _meter: RateLimiter = field(factory=RateLimiter)
     _demand: Demand = field(factory=Demand)
     _peers: dict[str, float] = field(factory=dict)
 
@@ -171,7 +171,7 @@
     return whole + (random.random() < mean - whole)
 
 
-def _meter(meter: RateMeter, rate_per_s: float, now_unix_s: float) -> Result[None, float]:
+def _meter(meter: RateLimiter, rate_per_s: float, now_unix_s: float) -> Result[None, float]:
     retry_at_unix_s = meter.next_unix_s(rate_per_s, now_unix_s)
     if retry_at_unix_s > now_unix_s:
         return Err(retry_at_unix_s)
--- a/bench/decisions/queue_order.py
+++ b/bench/decisions/queue_order.py
@@ -11,7 +11,7 @@
 from bench.fakes.traffic import Source
 from bench.fakes.ways import SHIPPED
 from pomelobarrow.decision.work import Work
-from pomelobarrow.decision.work_queue import Due
+from pomelobarrow.decision.work_queue import DueFunction
 
 LOAD = 1.3
 LOAD_AFTERWARDS = 0.6
@@ -39,7 +39,7 @@
     return work.deadline_unix_s if is_late else work.first_token_due_unix_s
 
 
-ORDERS: dict[str, Due | None] = {
+ORDERS: dict[str, DueFunction | None] = {
     "first come": _first_come,
     "target": _target,
     "deadline": _deadline,
--- a/bench/decisions/retry_budget.py
+++ b/bench/decisions/retry_budget.py
@@ -6,8 +6,8 @@
 
 from bench.decisions.sizes import DRAFT
 from bench.fakes.traffic import Source
-from pomelobarrow.decision.errors import Run
-from pomelobarrow.decision.retries import MAX_ATTEMPTS, RetryBudget, RetryVerdict, retry_verdict
+from pomelobarrow.decision.errors import RunStatus
+from pomelobarrow.decision.retries import MAX_ATTEMPTS, RetryBudget, RetryDecision, decide_retry
 
 REQUESTS = 20_000
 FAILING_SHARE = 0.7
@@ -24,7 +24,7 @@
     work = Source(DRAFT, seed).draw(0.0).work
 
     def within_budget(attempts: int) -> bool:
-        return retry_verdict(work, Run.NO, attempts, budget, 0.0, 0.0) is RetryVerdict.RETRY
+        return decide_retry(work, RunStatus.NO, attempts, budget, 0.0, 0.0) is RetryDecision.RETRY
 
     ways: dict[str, MayRetry] = {
         "none": lambda attempts: False,
--- a/bench/fakes/daemon.py
+++ b/bench/fakes/daemon.py
@@ -8,7 +8,7 @@
 from bench.fakes.traffic import Arrival
 from pomelobarrow.decision.load_table import LoadTable
 from pomelobarrow.decision.work import BackendServer, InFlight, LoadReport, Work
-from pomelobarrow.decision.work_queue import Due, WorkQueue
+from pomelobarrow.decision.work_queue import DueFunction, WorkQueue
 
 
 @define(kw_only=True, eq=False)
@@ -20,7 +20,7 @@
     pool: str
     random: Random
     servers: list[BackendServer]
-    due: Due | None = None
+    due: DueFunction | None = None
     # Servers this daemon may use; all but in the subset way.
     excluded: frozenset[str] = frozenset()
     # Servers whose requests another daemon dispatches; used in the owner way only.
--- a/bench/fakes/region.py
+++ b/bench/fakes/region.py
@@ -14,7 +14,7 @@
 from bench.fakes.ways import Way
 from pomelobarrow.decision.admission import refuse_unservable
 from pomelobarrow.decision.configuration import Rank
-from pomelobarrow.decision.errors import Kind, Refusal, Run
+from pomelobarrow.decision.errors import ErrorKind, Refusal, RunStatus
 from pomelobarrow.decision.next_placement import next_placement
 from pomelobarrow.decision.pool_wait import expected_wait_s
 from pomelobarrow.decision.rendezvous import rendezvous
@@ -144,8 +144,8 @@
         hold_s = daemon.table.service_times(self.pool).hold_s
         for work in daemon.queue.expired(self.now, lambda _: hold_s):
             refusal = Refusal(
-                kind=Kind.DEADLINE_PASSED,
-                run=Run.NO,
+                kind=ErrorKind.DEADLINE_PASSED,
+                run=RunStatus.NO,
                 detail="it can no longer finish by its deadline",
                 remedy="come back at Retry-After",
                 retry_at_unix_s=daemon.queue.retry_at_unix_s(
--- a/bench/fakes/ways.py
+++ b/bench/fakes/ways.py
@@ -5,7 +5,7 @@
 from bench.fakes.daemon import FakeDaemon, Pick
 from pomelobarrow.decision.server_choice import choose_server
 from pomelobarrow.decision.work import BackendServer, Work
-from pomelobarrow.decision.work_queue import Due
+from pomelobarrow.decision.work_queue import DueFunction
 
 
 @frozen(kw_only=True)
@@ -20,7 +20,7 @@
     has_owner: bool = False
     subset: int | None = None
     # Orders the queue; None orders it as shipped.
-    due: Due | None = None
+    due: DueFunction | None = None
     uses_prefixes: bool = False
     # Waiting work whose prefix the free server holds may pass others.
     looks_ahead: bool = False
--- a/src/pomelobarrow/backends/orders.py
+++ b/src/pomelobarrow/backends/orders.py
@@ -55,7 +55,7 @@
         for order in due.orders:
             if not await self._send(due, order):
                 return
-        self._book.observe_taken(due)
+        self._book.observe_accepted(due)
         log.info("orders taken", server=due.server.name, revision=due.revision)
 
     async def _send(self, due: FencedOrders, order: Order) -> bool:
@@ -76,7 +76,7 @@
 
     def _take_answer(self, due: FencedOrders, status: int, answer: dict[str, Any]) -> bool:
         if status == OLD_NUMBER:
-            self._book.observe_highest(due.server.name, int(answer.get("fencing", 0)))
+            self._book.observe_highest_fencing(due.server.name, int(answer.get("fencing", 0)))
         return status == TAKEN
 
 
--- a/src/pomelobarrow/backends/server_watch.py
+++ b/src/pomelobarrow/backends/server_watch.py
@@ -5,7 +5,7 @@
 
 from attrs import define, field, frozen
 
-from pomelobarrow.decision.fingerprint import readable
+from pomelobarrow.decision.fingerprint import format_fingerprint
 from pomelobarrow.decision.work import BackendServer
 
 # A process that ends may close its connections before its listening socket.
@@ -85,7 +85,7 @@
                 server=server.name,
                 pool=server.pool,
                 requests=len(fingerprints),
-                fingerprints=tuple(map(readable, fingerprints[:MAX_LOGGED_FINGERPRINTS])),
+                fingerprints=tuple(map(format_fingerprint, fingerprints[:MAX_LOGGED_FINGERPRINTS])),
             )
         )
 
--- a/src/pomelobarrow/callers/bodies.py
+++ b/src/pomelobarrow/callers/bodies.py
@@ -5,7 +5,7 @@
 from aiohttp import web
 from result import Err, Ok, Result
 
-from pomelobarrow.decision.errors import Kind, Refusal, Run
+from pomelobarrow.decision.errors import ErrorKind, Refusal, RunStatus
 from pomelobarrow.dispatch.refusals import refuse
 from pomelobarrow.kernel.clock import now_unix_s
 
@@ -25,10 +25,12 @@
     except web.HTTPRequestEntityTooLarge:
         return Err(_too_large(request))
     except web.RequestPayloadError:
-        return _bad(Kind.MALFORMED_REQUEST, "the body's framing is broken", "send valid HTTP/1.1")
+        return _bad(
+            ErrorKind.MALFORMED_REQUEST, "the body's framing is broken", "send valid HTTP/1.1"
+        )
     except TimeoutError:
         detail = "the body did not arrive by the deadline or within a minute"
-        return _bad(Kind.BODY_TOO_SLOW, detail, "send the body at once, with a later deadline")
+        return _bad(ErrorKind.BODY_TOO_SLOW, detail, "send the body at once, with a later deadline")
 
 
 def check_uncompressed(request: web.Request) -> Result[None, Refusal]:
@@ -39,17 +41,19 @@
     coding = request.headers.get("Content-Encoding", "identity").strip().lower()
     if coding == "identity":
         return Ok(None)
-    return _bad(Kind.MALFORMED_BODY, "the body is compressed", "send it without Content-Encoding")
+    return _bad(
+        ErrorKind.MALFORMED_BODY, "the body is compressed", "send it without Content-Encoding"
+    )
 
 
 def _too_large(request: web.Request) -> Refusal:
     return refuse(
-        Kind.BODY_TOO_LARGE,
-        Run.NO,
+        ErrorKind.BODY_TOO_LARGE,
+        RunStatus.NO,
         f"the body is past {request.client_max_size} bytes",
         remedy="send less, or ask the operator for a higher max_body_bytes",
     )
 
 
-def _bad(kind: Kind, detail: str, remedy: str) -> Err[Refusal]:
-    return Err(refuse(kind, Run.NO, detail, remedy=remedy))
+def _bad(kind: ErrorKind, detail: str, remedy: str) -> Err[Refusal]:
+    return Err(refuse(kind, RunStatus.NO, detail, remedy=remedy))
--- a/src/pomelobarrow/callers/entries.py
+++ b/src/pomelobarrow/callers/entries.py
@@ -7,7 +7,7 @@
 from result import Err, Ok, Result
 
 from pomelobarrow.decision.configuration import Account
-from pomelobarrow.decision.errors import Kind, Refusal, Run
+from pomelobarrow.decision.errors import ErrorKind, Refusal, RunStatus
 from pomelobarrow.decision.member import Member
 from pomelobarrow.decision.membership import MembershipView
 from pomelobarrow.decision.request_ids import RequestIdLedger
@@ -37,7 +37,11 @@
         # that keeps such an answer for as long as it is good has no one to send to; a refusal
         # makes it ask another VM at once.
         if not members:
-            return Err(refuse(Kind.NOT_READY, Run.NO, "no entry VM that takes work is known yet"))
+            return Err(
+                refuse(
+                    ErrorKind.NOT_READY, RunStatus.NO, "no entry VM that takes work is known yet"
+                )
+            )
         # Callers all take the first entry; without the shuffle one VM of the region got them all.
         self.rng.shuffle(members)
         members.sort(key=lambda member: self._order(member, home_region, round_trips_s))
--- a/src/pomelobarrow/callers/gateway.py
+++ b/src/pomelobarrow/callers/gateway.py
@@ -13,7 +13,7 @@
 from pomelobarrow.callers.problems import problem_response
 from pomelobarrow.callers.sinks import HttpSink
 from pomelobarrow.decision.configuration import Account, Configuration, WorkClass
-from pomelobarrow.decision.errors import Kind, Refusal, Run
+from pomelobarrow.decision.errors import ErrorKind, Refusal, RunStatus
 from pomelobarrow.decision.work import Work
 from pomelobarrow.dispatch.entry import EntryDispatch
 from pomelobarrow.dispatch.events import RequestEnded
@@ -100,8 +100,8 @@
             return Ok(checked)
         return Err(
             refuse(
-                Kind.BAD_IDEMPOTENCY_KEY,
-                Run.NO,
+                ErrorKind.BAD_IDEMPOTENCY_KEY,
+                RunStatus.NO,
                 "the key was not issued by this system",
                 remedy="send an id from the request_ids of GET /v1/entries",
             )
@@ -117,7 +117,7 @@
         started_unix_s = now_unix_s()
         configuration, reason = self.configuration(), self.not_ready_reason()
         if configuration is None or reason:
-            refusal = refuse(Kind.NOT_READY, Run.NO, reason or "not ready")
+            refusal = refuse(ErrorKind.NOT_READY, RunStatus.NO, reason or "not ready")
             return problem_response(_unclaimed(refusal, request.headers))
         readable = check_text(request.raw_path, request.headers)
         if isinstance(readable, Err):
@@ -144,7 +144,7 @@
         return self.is_draining() and checked.key is None
 
     def _stopping(self) -> Refusal:
-        return refuse(Kind.DRAINING, Run.NO, "this VM is stopping")
+        return refuse(ErrorKind.DRAINING, RunStatus.NO, "this VM is stopping")
 
     async def _answer(
         self, request: web.Request, gateway_request: GatewayRequest, account: Account
@@ -266,7 +266,7 @@
     it anew.
     """
     if parsing.is_issued(headers.get(parsing.KEY_HEADER, "")):
-        return evolve(refusal, run=Run.UNKNOWN)
+        return evolve(refusal, run=RunStatus.UNKNOWN)
     return refusal
 
 
--- a/src/pomelobarrow/callers/headers.py
+++ b/src/pomelobarrow/callers/headers.py
@@ -5,7 +5,7 @@
 
 from result import Err, Ok, Result
 
-from pomelobarrow.decision.errors import Kind, Refusal, Run
+from pomelobarrow.decision.errors import ErrorKind, Refusal, RunStatus
 from pomelobarrow.dispatch.answers import Headers
 from pomelobarrow.dispatch.refusals import refuse
 
@@ -69,4 +69,4 @@
 
 
 def _malformed(detail: str, remedy: str) -> Err[Refusal]:
-    return Err(refuse(Kind.MALFORMED_REQUEST, Run.NO, detail, remedy=remedy))
+    return Err(refuse(ErrorKind.MALFORMED_REQUEST, RunStatus.NO, detail, remedy=remedy))
--- a/src/pomelobarrow/callers/operations.py
+++ b/src/pomelobarrow/callers/operations.py
@@ -10,7 +10,7 @@
 from pomelobarrow.callers import parsing
 from pomelobarrow.callers.problems import problem_response
 from pomelobarrow.decision.configuration import Account, Configuration
-from pomelobarrow.decision.errors import Kind, Run
+from pomelobarrow.decision.errors import ErrorKind, RunStatus
 from pomelobarrow.decision.server_choice import choose_server
 from pomelobarrow.decision.work import Work
 from pomelobarrow.dispatch.dispatcher import Dispatcher
@@ -63,7 +63,9 @@
         """Answer GET /v1/explain: where a request of a class and account would go now."""
         configuration = self.published.configuration
         if configuration is None:
-            return problem_response(refuse(Kind.NOT_READY, Run.NO, "no configuration yet"))
+            return problem_response(
+                refuse(ErrorKind.NOT_READY, RunStatus.NO, "no configuration yet")
+            )
         work_class = parsing.find_class(request.query.get("class"), configuration)
         if isinstance(work_class, Err):
             return problem_response(work_class.err_value)
@@ -72,7 +74,7 @@
             # Callers can reach this too: the names of the accounts are the customers' names.
             remedy = "use the name of a published account"
             return problem_response(
-                refuse(Kind.UNKNOWN_ACCOUNT, Run.NO, "no such account", remedy=remedy)
+                refuse(ErrorKind.UNKNOWN_ACCOUNT, RunStatus.NO, "no such account", remedy=remedy)
             )
         return json_response(self._explanation(work_class.ok_value.name, account, configuration))
 
--- a/src/pomelobarrow/callers/parsing.py
+++ b/src/pomelobarrow/callers/parsing.py
@@ -17,7 +17,7 @@
     WorkClass,
 )
 from pomelobarrow.decision.costs import estimate_prompt_tokens, prefix_hashes
-from pomelobarrow.decision.errors import Kind, Refusal, Run
+from pomelobarrow.decision.errors import ErrorKind, Refusal, RunStatus
 from pomelobarrow.decision.request_ids import parse_issuer
 from pomelobarrow.decision.work import Work
 from pomelobarrow.dispatch.refusals import refuse
@@ -47,8 +47,8 @@
     prefix_hashes: tuple[int, ...]
 
 
-def _bad(kind: Kind, detail: str, remedy: str) -> Err[Refusal]:
-    return Err(refuse(kind, Run.NO, detail, remedy=remedy))
+def _bad(kind: ErrorKind, detail: str, remedy: str) -> Err[Refusal]:
+    return Err(refuse(kind, RunStatus.NO, detail, remedy=remedy))
 
 
 def find_account(
@@ -60,7 +60,7 @@
     account = configuration.account_by_token_sha256.get(digest)
     if account is None or not given.startswith(BEARER):
         return _bad(
-            Kind.UNKNOWN_ACCOUNT,
+            ErrorKind.UNKNOWN_ACCOUNT,
             "the bearer token belongs to no account",
             "send Authorization: Bearer with a token of a published account",
         )
@@ -72,7 +72,7 @@
     work_class = configuration.classes.get(name or "")
     if work_class is None:
         known = ", ".join(sorted(configuration.classes))
-        return _bad(Kind.UNKNOWN_CLASS, f"class {(name or '')[:64]!r}", f"use one of: {known}")
+        return _bad(ErrorKind.UNKNOWN_CLASS, f"class {(name or '')[:64]!r}", f"use one of: {known}")
     return Ok(work_class)
 
 
@@ -88,7 +88,7 @@
         deadline_unix_s = math.nan
     if not now_unix_s < deadline_unix_s <= now_unix_s + MAX_DEADLINE_AHEAD_S:
         return _bad(
-            Kind.BAD_DEADLINE,
+            ErrorKind.BAD_DEADLINE,
             f"{DEADLINE_HEADER}: {given[:64]!r}",
             "give Unix seconds in the future, at most seven days ahead",
         )
@@ -101,20 +101,22 @@
     """Return the region that a request belongs to."""
     if given is not None and given not in regions:
         return _bad(
-            Kind.BAD_HOME_REGION, f"{HOME_HEADER}: {given[:64]!r}", "name a region of this fleet"
+            ErrorKind.BAD_HOME_REGION,
+            f"{HOME_HEADER}: {given[:64]!r}",
+            "name a region of this fleet",
         )
     if not work_class.home_bound:
         return Ok(given or account.home_region or own)
     if given and account.home_region and given != account.home_region:
         return _bad(
-            Kind.BAD_HOME_REGION,
+            ErrorKind.BAD_HOME_REGION,
             f"{HOME_HEADER} is {given!r}, the account's home is {account.home_region!r}",
             "leave the header out or send with an account of that region",
         )
     home = given or account.home_region
     if home is None:
         return _bad(
-            Kind.BAD_HOME_REGION,
+            ErrorKind.BAD_HOME_REGION,
             f"class {work_class.name!r} is home-bound and no home is known",
             f"send {HOME_HEADER} or have the account's home_region published",
         )
@@ -131,10 +133,12 @@
     try:
         parsed = orjson.loads(body)
     except ValueError:
-        return _bad(Kind.MALFORMED_BODY, "the body is not JSON", "send one JSON object as UTF-8")
+        return _bad(
+            ErrorKind.MALFORMED_BODY, "the body is not JSON", "send one JSON object as UTF-8"
+        )
     fault = _shape_fault(parsed)
     if fault:
-        return _bad(Kind.MALFORMED_BODY, fault, "send the usual chat completion shape")
+        return _bad(ErrorKind.MALFORMED_BODY, fault, "send the usual chat completion shape")
     messages = parsed["messages"]
     size_bytes = sum(len(each["content"].encode()) for each in messages)
     return Ok(
@@ -185,7 +189,7 @@
     if model is None or model.pool != work_class.pool:
         served = sorted(m.name for m in configuration.models.values() if m.pool == work_class.pool)
         return _bad(
-            Kind.UNKNOWN_MODEL,
+            ErrorKind.UNKNOWN_MODEL,
             f"model {name[:64]!r} is not served for class {work_class.name!r}",
             f"use one of: {', '.join(served)}",
         )
@@ -199,7 +203,7 @@
     pool = configuration.pools.get(work_class.pool)
     if pool is None or pool.kind is not PoolKind.SERVICE or pool.service != name:
         return _bad(
-            Kind.UNKNOWN_SERVICE,
+            ErrorKind.UNKNOWN_SERVICE,
             f"service {name[:64]!r} is not offered to class {work_class.name!r}",
             "use the service and class that were published together",
         )
--- a/src/pomelobarrow/callers/plugin.py
+++ b/src/pomelobarrow/callers/plugin.py
@@ -11,7 +11,7 @@
 from pomelobarrow.callers.operations import Operations, json_response
 from pomelobarrow.callers.problems import problem_response
 from pomelobarrow.callers.server import CallerServer
-from pomelobarrow.decision.errors import Kind, Run
+from pomelobarrow.decision.errors import ErrorKind, RunStatus
 from pomelobarrow.decision.membership import MembershipView
 from pomelobarrow.decision.request_ids import RequestIdLedger
 from pomelobarrow.dispatch.dispatcher import Dispatcher
@@ -68,7 +68,9 @@
     async def entries(request: web.Request) -> web.Response:
         configuration = published.configuration
         if configuration is None:
-            return problem_response(refuse(Kind.NOT_READY, Run.NO, "no configuration yet"))
+            return problem_response(
+                refuse(ErrorKind.NOT_READY, RunStatus.NO, "no configuration yet")
+            )
         account = parsing.find_account(request.headers, configuration)
         if isinstance(account, Err):
             return problem_response(account.err_value)
--- a/src/pomelobarrow/decision/admission.py
+++ b/src/pomelobarrow/decision/admission.py
@@ -6,7 +6,7 @@
 from result import Err, Result
 
 from pomelobarrow.decision.configuration import Account
-from pomelobarrow.decision.errors import Kind, Refusal, Run
+from pomelobarrow.decision.errors import ErrorKind, Refusal, RunStatus
 from pomelobarrow.decision.limits import AccountLimits
 from pomelobarrow.decision.work import Work
 from pomelobarrow.decision.work_queue import WorkQueue
@@ -74,16 +74,16 @@
 ) -> Refusal | None:
     if work.deadline_unix_s <= now_unix_s:
         return Refusal(
-            kind=Kind.DEADLINE_PASSED,
-            run=Run.NO,
+            kind=ErrorKind.DEADLINE_PASSED,
+            run=RunStatus.NO,
             detail="the deadline had passed before the request could start",
             remedy="send a later Pomelobarrow-Deadline",
         )
     if now_unix_s + wait_s + service_s <= work.deadline_unix_s:
         return None
     return Refusal(
-        kind=Kind.OVERLOADED,
-        run=Run.NO,
+        kind=ErrorKind.OVERLOADED,
+        run=RunStatus.NO,
         detail=f"the answer is expected in {wait_s + service_s:.1f} s, after the deadline",
         remedy="come back at Retry-After, or send a later Pomelobarrow-Deadline",
         retry_at_unix_s=retry_at_unix_s(),
@@ -96,8 +96,8 @@
     if not queue.is_full(work.rank):
         return None
     return Refusal(
-        kind=Kind.OVERLOADED,
-        run=Run.NO,
+        kind=ErrorKind.OVERLOADED,
+        run=RunStatus.NO,
         detail=f"the queue of {work.rank.value} work for {work.pool} is full",
         remedy="come back at Retry-After",
         retry_at_unix_s=retry_at_unix_s(),
@@ -107,8 +107,8 @@
 def _over_limit(account: Account) -> Callable[[float], Refusal]:
     def refuse(retry_at_unix_s: float) -> Refusal:
         return Refusal(
-            kind=Kind.ACCOUNT_LIMIT,
-            run=Run.NO,
+            kind=ErrorKind.ACCOUNT_LIMIT,
+            run=RunStatus.NO,
             detail=f"account {account.name} is over its published limits",
             remedy="come back at Retry-After, or ask the operator for a higher limit",
             retry_at_unix_s=retry_at_unix_s,
--- a/src/pomelobarrow/decision/attempt.py
+++ b/src/pomelobarrow/decision/attempt.py
@@ -5,7 +5,7 @@
 
 from attrs import define, field
 
-from pomelobarrow.decision.errors import Run
+from pomelobarrow.decision.errors import RunStatus
 
 
 class AttemptState(enum.Enum):
@@ -101,16 +101,16 @@
 _ANSWERS = frozenset({AttemptEvent.FIRST_BYTE, AttemptEvent.END})
 
 
-def run_verdict(states: Iterable[AttemptState]) -> Run:
+def run_status(states: Iterable[AttemptState]) -> RunStatus:
     """Say "no" only when every attempt is certain never to have run."""
     if all(state in UNRUN_STATES for state in states):
-        return Run.NO
-    return Run.UNKNOWN
+        return RunStatus.NO
+    return RunStatus.UNKNOWN
 
 
-def may_try_again(states: Iterable[AttemptState], repeatable: bool) -> bool:
+def may_retry(states: Iterable[AttemptState], repeatable: bool) -> bool:
     """Say whether another attempt may start once the earlier ones were given up."""
     seen = tuple(states)
     if repeatable:
         return AttemptState.FINISHED not in seen
-    return run_verdict(seen) is Run.NO
+    return run_status(seen) is RunStatus.NO
--- a/src/pomelobarrow/decision/crash_suspects.py
+++ b/src/pomelobarrow/decision/crash_suspects.py
@@ -26,7 +26,7 @@
 TRIAL_AFTER_S = {3: 60.0, 4: 600.0}
 # In its turn a VM lets one through; an answer or a crash is known to all before the next turn.
 TRIAL_TURN_S = 5.0
-KEPT_S = 3_600.0
+CRASH_RETENTION_S = 3_600.0
 # More crashes change nothing.
 MAX_CRASHES = 8
 # VMs see one end at slightly different times. A platform that doesn't tell when a server started
@@ -144,7 +144,7 @@
         suspect = self._suspects.get(fingerprint)
         return suspect is not None and now_unix_s < suspect.last_trial_unix_s + TRIAL_TURN_S
 
-    def take_trial(self, fingerprint: int, live_vms: Iterable[str], now_unix_s: float) -> bool:
+    def try_start_trial(self, fingerprint: int, live_vms: Iterable[str], now_unix_s: float) -> bool:
         """Say whether a blocked request is let through once, to find out whether it may be cleared.
 
         One VM at a time does so, in an order that all agree on, each of them once.
@@ -220,7 +220,7 @@
 
     def _current(self, fingerprint: int, now_unix_s: float) -> _Suspect | None:
         suspect = self._suspects.get(fingerprint)
-        if suspect is not None and suspect.evidence.newest_unix_s < now_unix_s - KEPT_S:
+        if suspect is not None and suspect.evidence.newest_unix_s < now_unix_s - CRASH_RETENTION_S:
             del self._suspects[fingerprint]
             return None
         return suspect
--- a/src/pomelobarrow/decision/errors.py
+++ b/src/pomelobarrow/decision/errors.py
@@ -5,14 +5,14 @@
 from attrs import frozen
 
 
-class Run(enum.Enum):
+class RunStatus(enum.Enum):
     """Say whether a request may have run."""
 
     NO = "no"
     UNKNOWN = "unknown"
 
 
-class Kind(enum.Enum):
+class ErrorKind(enum.Enum):
     """Enumerate the problem kinds a caller can meet, with HTTP status."""
 
     MALFORMED_BODY = ("malformed_body", 400)
@@ -46,15 +46,15 @@
         self.status = status
 
 
-KIND_BY_LABEL = {kind.label: kind for kind in Kind}
+KIND_BY_LABEL = {kind.label: kind for kind in ErrorKind}
 
 
 @frozen(kw_only=True)
 class Refusal:
     """Tell a caller that a request was not answered, whether it ran and what to do."""
 
-    kind: Kind
-    run: Run
+    kind: ErrorKind
+    run: RunStatus
     detail: str
     remedy: str
     retry_at_unix_s: float | None = None
--- a/src/pomelobarrow/decision/fingerprint.py
+++ b/src/pomelobarrow/decision/fingerprint.py
@@ -15,6 +15,6 @@
     return digest.intdigest()
 
 
-def readable(number: int) -> str:
+def format_fingerprint(number: int) -> str:
     """Return a fingerprint as logs show it."""
     return f"{number:016x}"
--- a/src/pomelobarrow/decision/limits.py
+++ b/src/pomelobarrow/decision/limits.py
@@ -8,7 +8,7 @@
 
 from pomelobarrow.decision.configuration import Account
 from pomelobarrow.decision.demand import Demand
-from pomelobarrow.decision.rate_meter import RateMeter
+from pomelobarrow.decision.rate_limiter import RateLimiter
 
 # The longest way of a rate to every VM of a region: one heartbeat where all are neighbours, two
 # hops of three heartbeats each in a large region.
@@ -52,7 +52,7 @@
 
     def __init__(self) -> None:
         self._demand: defaultdict[str, Demand] = defaultdict(Demand)
-        self._meters: defaultdict[str, RateMeter] = defaultdict(RateMeter)
+        self._meters: defaultdict[str, RateLimiter] = defaultdict(RateLimiter)
         self._in_flight: defaultdict[str, int] = defaultdict(int)
         self._peers: dict[str, _Told] = {}
         self._regions: dict[str, _Told] = {}
--- a/src/pomelobarrow/decision/orders.py
+++ b/src/pomelobarrow/decision/orders.py
@@ -111,14 +111,14 @@
         for engine in self._engines.values():
             engine.owned_since_unix_s = now_unix_s + ORDER_LIFE_S
 
-    def observe_taken(self, sent: FencedOrders) -> None:
+    def observe_accepted(self, sent: FencedOrders) -> None:
         """Note that an engine took the orders."""
         engine = self._engines.get(sent.server.name)
         if engine is not None:
             engine.done = sent.orders
             engine.highest_seen = max(engine.highest_seen, sent.fencing)
 
-    def observe_highest(self, server: str, highest_seen: int) -> None:
+    def observe_highest_fencing(self, server: str, highest_seen: int) -> None:
         """Note the highest number that an engine says it has seen."""
         engine = self._engines.get(server)
         if engine is not None:
--- a/src/pomelobarrow/decision/placement.py
+++ b/src/pomelobarrow/decision/placement.py
@@ -23,8 +23,8 @@
 from pomelobarrow.decision.region_choice import RegionLoad
 from pomelobarrow.decision.remote_choice import RemoteChoice, is_late
 from pomelobarrow.decision.routing import Routing
-from pomelobarrow.decision.server_limits import LEAST_PER_S
-from pomelobarrow.decision.turning_away import Promise, is_worth_taking
+from pomelobarrow.decision.server_limits import MIN_LIMIT_PER_S
+from pomelobarrow.decision.stream_admission import StreamExpectations, is_worth_taking
 from pomelobarrow.decision.work import BackendServer, Placement
 
 # A caller that comes for the first time still has its route's whole time; one with less than this
@@ -98,7 +98,7 @@
         if next_unix_s is None:
             return Nowhere(reason=NOTHING_HERE)
         # Where others send at the rate, coming back once they have sent is all there is.
-        drain_per_s = max(self.table.drain_per_s(pool, now_unix_s), LEAST_PER_S)
+        drain_per_s = max(self.table.drain_per_s(pool, now_unix_s), MIN_LIMIT_PER_S)
         wait_s = min(next_unix_s - now_unix_s, 1.0 / drain_per_s)
         return Nowhere(reason=HERE_IS_LIMITED, wait_s=wait_s, next_unix_s=next_unix_s)
 
@@ -131,12 +131,12 @@
     return request.is_long or is_late(request, here)
 
 
-def _promise(request: PlacementRequest) -> Promise:
+def _promise(request: PlacementRequest) -> StreamExpectations:
     route, work = request.route, request.work
     granted_s = work.deadline_unix_s - work.accepted_unix_s
-    return Promise(
+    return StreamExpectations(
         first_answer_due_unix_s=work.first_token_due_unix_s,
         silence_patience_s=route.silence_patience_s,
         is_long=request.is_long,
-        has_come_back=granted_s < FIRST_COME_SHARE * route.timeout_s,
+        is_resubmission=granted_s < FIRST_COME_SHARE * route.timeout_s,
     )
--- a/src/pomelobarrow/decision/pool_wait.py
+++ b/src/pomelobarrow/decision/pool_wait.py
@@ -17,8 +17,10 @@
     """
     ahead = queue.ahead(work, now_unix_s)
     drain_per_s = max(table.drain_per_s(work.pool, now_unix_s), MIN_DRAIN_PER_S)
-    s_per_ahead = max(1.0 / drain_per_s, queue.s_per_ahead(work.rank, now_unix_s))
-    return ahead * s_per_ahead + server_wait_s(table, work.pool, now_unix_s)
+    wait_per_request_ahead_s = max(
+        1.0 / drain_per_s, queue.wait_per_request_ahead_s(work.rank, now_unix_s)
+    )
+    return ahead * wait_per_request_ahead_s + server_wait_s(table, work.pool, now_unix_s)
 
 
 def server_wait_s(table: LoadTable, pool: str, now_unix_s: float) -> float:
--- a/src/pomelobarrow/decision/queue_pace.py
+++ b/src/pomelobarrow/decision/queue_throughput.py
@@ -11,7 +11,7 @@
 
 
 @define
-class QueuePace:
+class QueueThroughput:
     """Hold seconds of wait for each request ahead, and requests taken a second.
 
     Work that comes later but is due earlier goes first. A wait reckoned from the requests ahead
@@ -45,7 +45,7 @@
         self._waited_s = self._waited_s * DECAY + now_unix_s - pushed_unix_s
         self._ahead = self._ahead * DECAY + ahead
 
-    def s_per_ahead(self, now_unix_s: float) -> float:
+    def wait_per_request_ahead_s(self, now_unix_s: float) -> float:
         """Return the seconds that each request ahead costs, or zero where that isn't known."""
         if not self._ahead or now_unix_s - self._updated_unix_s > GOOD_FOR_S:
             return 0.0
--- a/src/pomelobarrow/decision/rate_meter.py
+++ b/src/pomelobarrow/decision/rate_limiter.py
@@ -10,7 +10,7 @@
 
 
 @define
-class RateMeter:
+class RateLimiter:
     """Count what was admitted.
 
     The bucket is large, since a small rate's share would else refuse callers who come in twos. The
--- a/src/pomelobarrow/decision/request_ids.py
+++ b/src/pomelobarrow/decision/request_ids.py
@@ -35,7 +35,7 @@
     "Claim",
     "ClaimKind",
     "EntryState",
-    "HandedOverError",
+    "AlreadyExportedError",
     "IdFault",
     "Issuer",
     "LedgerEntry",
@@ -56,7 +56,7 @@
 ENTRY_BYTES = 768
 
 
-class HandedOverError(Exception):
+class AlreadyExportedError(Exception):
     """Report a second export of the same ids."""
 
     def __init__(self, vm: str, incarnation: int) -> None:
@@ -215,7 +215,7 @@
         key = issuer or self._own_key
         book = self._books[key]
         if book.is_exported:
-            raise HandedOverError(*key)
+            raise AlreadyExportedError(*key)
         book.is_exported = True
         self.retire()
         return LedgerExport(
--- a/src/pomelobarrow/decision/retries.py
+++ b/src/pomelobarrow/decision/retries.py
@@ -5,7 +5,7 @@
 
 from attrs import define
 
-from pomelobarrow.decision.errors import Run
+from pomelobarrow.decision.errors import RunStatus
 from pomelobarrow.decision.work import Work
 
 BUDGET_RATIO = 0.1
@@ -17,7 +17,7 @@
 RETRY_JITTER = 0.5
 
 
-class RetryVerdict(enum.Enum):
+class RetryDecision(enum.Enum):
     """Say whether to try again, or why not."""
 
     RETRY = "retry"
@@ -47,26 +47,26 @@
         self._tokens -= 1.0
 
 
-def retry_verdict(
+def decide_retry(
     work: Work,
-    run: Run,
+    run: RunStatus,
     attempts: int,
     budget: RetryBudget,
     expected_wait_s: float,
     now_unix_s: float,
-) -> RetryVerdict:
+) -> RetryDecision:
     """Judge a failed attempt and spend the budget where the verdict is to retry."""
     checks = (
-        (run is Run.UNKNOWN and not work.repeatable, RetryVerdict.MAY_HAVE_RUN),
-        (now_unix_s + expected_wait_s >= work.deadline_unix_s, RetryVerdict.DEADLINE),
-        (attempts >= MAX_ATTEMPTS, RetryVerdict.ATTEMPTS),
-        (not budget.has_token(), RetryVerdict.BUDGET),
+        (run is RunStatus.UNKNOWN and not work.repeatable, RetryDecision.MAY_HAVE_RUN),
+        (now_unix_s + expected_wait_s >= work.deadline_unix_s, RetryDecision.DEADLINE),
+        (attempts >= MAX_ATTEMPTS, RetryDecision.ATTEMPTS),
+        (not budget.has_token(), RetryDecision.BUDGET),
     )
     for fails, verdict in checks:
         if fails:
             return verdict
     budget.spend()
-    return RetryVerdict.RETRY
+    return RetryDecision.RETRY
 
 
 def retry_after_unix_s(expected_wait_s: float, now_unix_s: float, random: Random) -> float:
--- a/src/pomelobarrow/decision/retry_line.py
+++ b/src/pomelobarrow/decision/retry_schedule.py
@@ -12,7 +12,7 @@
 
 
 @define
-class RetryLine:
+class RetrySchedule:
     """Hold the time up to which returning callers are expected.
 
     Told the same wait, all that were refused in an overload would come back together and be refused
--- a/src/pomelobarrow/decision/retry_share.py
+++ b/src/pomelobarrow/decision/retry_share.py
@@ -40,7 +40,7 @@
     bound: RetryBound
     _pools: defaultdict[str, _Counts] = field(factory=lambda: defaultdict(_Counts))
 
-    def note_first(self, pool: str, now_unix_s: float) -> None:
+    def record_first_arrival(self, pool: str, now_unix_s: float) -> None:
         """Count a request's first arrival at a server."""
         self._pools[pool].firsts.append(now_unix_s)
 
@@ -51,7 +51,7 @@
         allowed = SAFETY_SHARE * (self.bound.ratio * len(counts.firsts) + slack)
         return len(counts.repeats) + 1 <= allowed
 
-    def take_repeat(self, pool: str, live_vms: int, now_unix_s: float) -> bool:
+    def try_take_retry(self, pool: str, live_vms: int, now_unix_s: float) -> bool:
         """Count one more arrival where the bound leaves room for it."""
         if not self._has_room(pool, live_vms, now_unix_s):
             return False
--- a/src/pomelobarrow/decision/server_limits.py
+++ b/src/pomelobarrow/decision/server_limits.py
@@ -16,7 +16,7 @@
 BURST_S = 0.5
 # A server that takes nothing gets a request now and then: nothing but an answer tells that its
 # limit has ended.
-LEAST_PER_S = 0.1
+MIN_LIMIT_PER_S = 0.1
 _DECIMAL = re.compile(r"\d{1,9}(\.\d{1,9})?")
 
 
@@ -76,7 +76,7 @@
         held = self._named.get(server.incarnation)
         if held is None or held.per_s is None:
             return math.inf
-        return max(LEAST_PER_S, held.per_s)
+        return max(MIN_LIMIT_PER_S, held.per_s)
 
     def next_unix_s(self, server: BackendServer, now_unix_s: float) -> float:
         """Return when this VM may send to a server next, infinity where others send there."""
--- a/src/pomelobarrow/decision/turning_away.py
+++ b/src/pomelobarrow/decision/stream_admission.py
@@ -11,7 +11,7 @@
 
 from attrs import frozen
 
-from pomelobarrow.decision.retry_line import RetryLine
+from pomelobarrow.decision.retry_schedule import RetrySchedule
 
 # Of the time after which a caller leaves a silent stream, the part that an expected wait may take.
 # Short prompts are taken up to it. Refused past 1.25 times their target, 700 of 6,900 came back
@@ -27,7 +27,7 @@
 
 
 @frozen(kw_only=True)
-class Promise:
+class StreamExpectations:
     """Hold what a stream's caller was promised, and what it bears."""
 
     first_answer_due_unix_s: float
@@ -36,18 +36,18 @@
     # Its reading delays what comes after it.
     is_long: bool
     # It was refused or cut off before, so that it is late already, and won't come a third time.
-    has_come_back: bool
+    is_resubmission: bool
 
 
-def is_worth_taking(promise: Promise, expected_s: float, now_unix_s: float) -> bool:
+def is_worth_taking(promise: StreamExpectations, expected_s: float, now_unix_s: float) -> bool:
     """Say whether a stream whose first answer is expected so late is better taken than refused."""
-    if promise.is_long and not promise.has_come_back:
+    if promise.is_long and not promise.is_resubmission:
         return expected_s <= promise.first_answer_due_unix_s - now_unix_s
     return expected_s <= PATIENCE_SHARE * promise.silence_patience_s
 
 
 def retry_at_unix_s(
-    line: RetryLine,
+    line: RetrySchedule,
     expected_wait_s: float,
     taken_per_s: float,
     deadline_unix_s: float,
--- a/src/pomelobarrow/decision/work_queue.py
+++ b/src/pomelobarrow/decision/work_queue.py
@@ -7,8 +7,8 @@
 from attrs import field, frozen
 
 from pomelobarrow.decision.configuration import Rank
-from pomelobarrow.decision.queue_pace import QueuePace
-from pomelobarrow.decision.retry_line import RetryLine
+from pomelobarrow.decision.queue_throughput import QueueThroughput
+from pomelobarrow.decision.retry_schedule import RetrySchedule
 from pomelobarrow.decision.work import Work
 
 MAX_WAITING = {Rank.PAYING: 2_000, Rank.TRIAL: 500}
@@ -22,7 +22,7 @@
 QUEUE_PART_OF_TARGET = 0.5
 
 # Says at a time when work is due.
-Due = Callable[[Work, float], float]
+DueFunction = Callable[[Work, float], float]
 
 
 @frozen(order=True)
@@ -47,15 +47,15 @@
     late for good.
     """
 
-    def __init__(self, pool: str, due: Due | None = None) -> None:
+    def __init__(self, pool: str, due: DueFunction | None = None) -> None:
         self.pool = pool
         self._due = due or due_unix_s
         self._sequence = 0
         self._ordered: dict[Rank, list[_Entry]] = {rank: [] for rank in Rank}
         self._by_id: dict[str, _Entry] = {}
         self._peers: dict[str, _PeerWaiting] = {}
-        self._pace = {rank: QueuePace() for rank in Rank}
-        self._retry_lines = {rank: RetryLine() for rank in Rank}
+        self._pace = {rank: QueueThroughput() for rank in Rank}
+        self._retry_lines = {rank: RetrySchedule() for rank in Rank}
 
     def is_full(self, rank: Rank) -> bool:
         """Say whether a rank's bound is reached."""
@@ -141,9 +141,9 @@
         """Return the seconds until new work would leave the queue, by the servers' speed."""
         return self.ahead(work, now_unix_s) / max(drain_per_s, 1e-6)
 
-    def s_per_ahead(self, rank: Rank, now_unix_s: float) -> float:
+    def wait_per_request_ahead_s(self, rank: Rank, now_unix_s: float) -> float:
         """Return the seconds that each request ahead has cost of late, zero where unknown."""
-        return self._pace[rank].s_per_ahead(now_unix_s)
+        return self._pace[rank].wait_per_request_ahead_s(now_unix_s)
 
     def retry_at_unix_s(
         self, rank: Rank, expected_wait_s: float, now_unix_s: float, random: Random
--- a/src/pomelobarrow/dispatch/claims.py
+++ b/src/pomelobarrow/dispatch/claims.py
@@ -9,7 +9,7 @@
 from result import Err
 
 from pomelobarrow.decision.attempt import Attempt, AttemptState
-from pomelobarrow.decision.errors import Kind, Refusal, Run
+from pomelobarrow.decision.errors import ErrorKind, Refusal, RunStatus
 from pomelobarrow.decision.request_ids import (
     Claim,
     ClaimKind,
@@ -66,7 +66,7 @@
         if isinstance(parsed, Err):
             return _not_issued(parsed.err_value.detail)
         if parsed.ok_value.key not in self.ledger.issuers:
-            return evolve(refusal, run=Run.UNKNOWN, remedy=REMEDY_REPEAT)
+            return evolve(refusal, run=RunStatus.UNKNOWN, remedy=REMEDY_REPEAT)
         claim = self.ledger.claim(work.request_id, work.account, now_unix_s())
         if claim.kind is ClaimKind.FRESH:
             return self._record_refusal(work.request_id, refusal)
@@ -141,10 +141,10 @@
         Were the id free again, that copy could run after the caller was told "not run" and had
         sent the request anew: one order placed twice.
         """
-        if refusal.run is Run.UNKNOWN:
+        if refusal.run is RunStatus.UNKNOWN:
             self.ledger.lose(request_id)
             return refusal
-        self.ledger.finish(request_id, Outcome(status=refusal.kind.status, run=Run.NO.value))
+        self.ledger.finish(request_id, Outcome(status=refusal.kind.status, run=RunStatus.NO.value))
         return evolve(refusal, remedy=f"{refusal.remedy}; {REMEDY_NEW_ID}")
 
     async def _pass_to_issuer(
@@ -171,8 +171,8 @@
     ) -> Refusal | None:
         retry_at_unix_s = retry_after_unix_s(STILL_RUNNING_PAUSE_S, now_unix_s(), self.rng)
         return Refusal(
-            kind=Kind.STILL_RUNNING,
-            run=Run.UNKNOWN,
+            kind=ErrorKind.STILL_RUNNING,
+            run=RunStatus.UNKNOWN,
             detail="the first request with this id still runs",
             remedy=REMEDY_REPEAT,
             retry_at_unix_s=retry_at_unix_s,
@@ -182,12 +182,18 @@
         self, claim: Claim, request: GatewayRequest, sink: AnswerSink
     ) -> Refusal | None:
         outcome = claim.outcome or Outcome(status=502, run="unknown")
-        if outcome.run == Run.NO.value:
-            return refuse(Kind.ID_REFUSED, Run.NO, "the first one was refused and never ran")
+        if outcome.run == RunStatus.NO.value:
+            return refuse(
+                ErrorKind.ID_REFUSED, RunStatus.NO, "the first one was refused and never ran"
+            )
         if outcome.run == "unknown":
-            return refuse(Kind.OUTCOME_UNKNOWN, Run.UNKNOWN, "the first one's outcome is unknown")
+            return refuse(
+                ErrorKind.OUTCOME_UNKNOWN, RunStatus.UNKNOWN, "the first one's outcome is unknown"
+            )
         if outcome.body is None:
-            return refuse(Kind.ANSWER_NOT_KEPT, Run.UNKNOWN, "it ran; its answer was too large")
+            return refuse(
+                ErrorKind.ANSWER_NOT_KEPT, RunStatus.UNKNOWN, "it ran; its answer was too large"
+            )
         await sink.head(AnswerHead(outcome.status, outcome.headers))
         await sink.chunk(outcome.body)
         await sink.end()
@@ -202,7 +208,7 @@
         self, claim: Claim, request: GatewayRequest, sink: AnswerSink
     ) -> Refusal | None:
         detail = "the id has expired; a first request under it may have run"
-        return refuse(Kind.OUTCOME_UNKNOWN, Run.UNKNOWN, detail)
+        return refuse(ErrorKind.OUTCOME_UNKNOWN, RunStatus.UNKNOWN, detail)
 
     async def _say_gone(
         self, claim: Claim, request: GatewayRequest, sink: AnswerSink
@@ -213,13 +219,15 @@
         self, claim: Claim, request: GatewayRequest, sink: AnswerSink
     ) -> Refusal | None:
         detail = "the VM that issued the id is stopping; this id was not used here"
-        run = Run.UNKNOWN if self.is_handing_over else Run.NO
-        return refuse(Kind.DRAINING, run, detail, remedy=REMEDY_NEW_ID)
+        run = RunStatus.UNKNOWN if self.is_handing_over else RunStatus.NO
+        return refuse(ErrorKind.DRAINING, run, detail, remedy=REMEDY_NEW_ID)
 
     def _issuer_gone(self, detail: str = "") -> Refusal:
         text = "the VM that issued the id can't be asked whether it ran"
-        return refuse(Kind.OUTCOME_UNKNOWN, Run.UNKNOWN, f"{text}: {detail}" if detail else text)
+        return refuse(
+            ErrorKind.OUTCOME_UNKNOWN, RunStatus.UNKNOWN, f"{text}: {detail}" if detail else text
+        )
 
 
 def _not_issued(detail: str) -> Refusal:
-    return refuse(Kind.BAD_IDEMPOTENCY_KEY, Run.NO, detail, remedy=REMEDY_NEW_ID)
+    return refuse(ErrorKind.BAD_IDEMPOTENCY_KEY, RunStatus.NO, detail, remedy=REMEDY_NEW_ID)
--- a/src/pomelobarrow/dispatch/crash_guard.py
+++ b/src/pomelobarrow/dispatch/crash_guard.py
@@ -6,8 +6,8 @@
 
 from pomelobarrow.backends.server_watch import ServerWatch
 from pomelobarrow.decision.crash_suspects import Crash, CrashSuspects, Finding, Suspicion
-from pomelobarrow.decision.errors import Kind, Refusal, Run
-from pomelobarrow.decision.fingerprint import readable
+from pomelobarrow.decision.errors import ErrorKind, Refusal, RunStatus
+from pomelobarrow.decision.fingerprint import format_fingerprint
 from pomelobarrow.decision.short_key import short_key
 from pomelobarrow.decision.work import BackendServer
 from pomelobarrow.dispatch.refusals import refuse
@@ -45,7 +45,7 @@
         now = now_unix_s()
         if self.suspects.suspicion(fingerprint, now) is not Suspicion.BLOCKED:
             return False
-        return not self.suspects.take_trial(fingerprint, self.live_vms(), now)
+        return not self.suspects.try_start_trial(fingerprint, self.live_vms(), now)
 
     def refuses_after_wait(self, fingerprint: int) -> bool:
         """Say whether a request that was let through is refused after all."""
@@ -57,7 +57,7 @@
         """Say whether a request that a server has lost may be sent to another one."""
         return self.suspects.suspicion(fingerprint, now_unix_s()) is Suspicion.NONE
 
-    def refusal(self, request_id: str, pool: str, fingerprint: int, run: Run) -> Refusal:
+    def refusal(self, request_id: str, pool: str, fingerprint: int, run: RunStatus) -> Refusal:
         """Return the refusal of a blocked request and report it with the evidence."""
         evidence = self.suspects.evidence(fingerprint)
         servers_ended = evidence.servers_ended if evidence else 0
@@ -66,12 +66,12 @@
             RequestBlocked(
                 request_id=request_id,
                 pool=pool,
-                fingerprint=readable(fingerprint),
+                fingerprint=format_fingerprint(fingerprint),
                 servers_ended=servers_ended,
                 newest_age_s=newest_age_s,
             )
         )
-        return refuse(Kind.CRASHES_SERVERS, run, DETAIL)
+        return refuse(ErrorKind.CRASHES_SERVERS, run, DETAIL)
 
     def note_answered(self, fingerprint: int) -> None:
         """Clear a request that a server has answered whole."""
--- a/src/pomelobarrow/dispatch/dispatcher.py
+++ b/src/pomelobarrow/dispatch/dispatcher.py
@@ -6,8 +6,8 @@
 
 from attrs import define, evolve, field
 
-from pomelobarrow.decision.attempt import Attempt, AttemptState, may_try_again, run_verdict
-from pomelobarrow.decision.errors import Kind, Refusal, Run
+from pomelobarrow.decision.attempt import Attempt, AttemptState, may_retry, run_status
+from pomelobarrow.decision.errors import ErrorKind, Refusal, RunStatus
 from pomelobarrow.decision.region_choice import (
     RegionChoice,
     RegionLoad,
@@ -17,9 +17,9 @@
 )
 from pomelobarrow.decision.retries import (
     RetryBudget,
-    RetryVerdict,
+    RetryDecision,
+    decide_retry,
     retry_after_unix_s,
-    retry_verdict,
 )
 from pomelobarrow.decision.work import Work
 from pomelobarrow.dispatch.answers import AnswerSink, AttemptResult
@@ -36,7 +36,7 @@
 UNRUN_PAUSE_S = 0.02
 # Repeatable work is late rather than lost: once its quick tries are used up it goes on at the
 # backoff's pace, which can't amplify an overload, until its deadline.
-PATIENT_VERDICTS = frozenset({RetryVerdict.BUDGET, RetryVerdict.ATTEMPTS})
+PATIENT_VERDICTS = frozenset({RetryDecision.BUDGET, RetryDecision.ATTEMPTS})
 
 
 @define(kw_only=True)
@@ -50,9 +50,9 @@
     last_refusal: Refusal | None = None
 
     @property
-    def run(self) -> Run:
+    def run(self) -> RunStatus:
         """Say whether anything may have run."""
-        return run_verdict(self.states)
+        return run_status(self.states)
 
     def observe(self, region: str, result: AttemptResult) -> None:
         """Note whom to leave out of the next attempt."""
@@ -62,7 +62,7 @@
             self.bad_peers.add(result.peer)
             # One VM that stops says nothing of its region: left out, home-bound work would be
             # refused although the VM next to it takes it.
-            if result.refusal is None or result.refusal.kind is not Kind.DRAINING:
+            if result.refusal is None or result.refusal.kind is not ErrorKind.DRAINING:
                 self.bad_regions.add(region)
         elif result.server:
             self.bad_servers.add(result.server)
@@ -149,7 +149,11 @@
         if request.forwarded_by is not None:
             if work.home_bound and work.home_region != self.own_region:
                 raise RefusedError(
-                    refuse(Kind.HOME_UNREACHABLE, Run.NO, "this VM is outside the home region")
+                    refuse(
+                        ErrorKind.HOME_UNREACHABLE,
+                        RunStatus.NO,
+                        "this VM is outside the home region",
+                    )
                 )
             return self.own_region
         choice = self.choose(work, tries.bad_regions)
@@ -178,21 +182,21 @@
     def _no_region(self, work: Work, choice: RegionChoice) -> Refusal:
         now = now_unix_s()
         retry_at_unix_s = retry_after_unix_s(self.local.expected_wait_s(work), now, self.rng)
-        kind = Kind.NO_CAPACITY
+        kind = ErrorKind.NO_CAPACITY
         if choice.reason is RegionReason.HOME_LOST:
-            kind = Kind.HOME_UNREACHABLE
-        return refuse(kind, Run.NO, choice.reason.value, retry_at_unix_s)
+            kind = ErrorKind.HOME_UNREACHABLE
+        return refuse(kind, RunStatus.NO, choice.reason.value, retry_at_unix_s)
 
     async def _pause_or_refuse(
         self, request: GatewayRequest, result: AttemptResult, tries: Tries
     ) -> Refusal | None:
         work, now = request.work, now_unix_s()
-        if result.refusal is not None and result.refusal.kind is Kind.CRASHES_SERVERS:
+        if result.refusal is not None and result.refusal.kind is ErrorKind.CRASHES_SERVERS:
             return evolve(result.refusal, run=tries.run)
-        if tries.run is Run.UNKNOWN and not self.guard.may_repeat(request.fingerprint):
-            return refuse(Kind.OUTCOME_UNKNOWN, Run.UNKNOWN, result.detail)
-        if not may_try_again(tries.states, work.repeatable):
-            return refuse(Kind.OUTCOME_UNKNOWN, Run.UNKNOWN, result.detail)
+        if tries.run is RunStatus.UNKNOWN and not self.guard.may_repeat(request.fingerprint):
+            return refuse(ErrorKind.OUTCOME_UNKNOWN, RunStatus.UNKNOWN, result.detail)
+        if not may_retry(tries.states, work.repeatable):
+            return refuse(ErrorKind.OUTCOME_UNKNOWN, RunStatus.UNKNOWN, result.detail)
         if request.forwarded_by is not None and result.refusal is not None:
             return result.refusal
         # Home-bound work has nowhere else to go. Held here until its deadline it would only keep
@@ -203,8 +207,8 @@
             and _is_home_lost(result)
         ):
             return result.refusal
-        verdict = retry_verdict(work, tries.run, len(tries.states), self._budget(work), 0.0, now)
-        if verdict is RetryVerdict.RETRY:
+        verdict = decide_retry(work, tries.run, len(tries.states), self._budget(work), 0.0, now)
+        if verdict is RetryDecision.RETRY:
             await asyncio.sleep(UNRUN_PAUSE_S)
             return None
         if verdict in PATIENT_VERDICTS and work.repeatable:
@@ -227,31 +231,31 @@
         """Name what held the work up and, where nothing ran, when to come back."""
         now = now_unix_s()
         retry_at_unix_s = retry_after_unix_s(self.local.expected_wait_s(work), now, self.rng)
-        if tries.run is Run.NO and tries.last_refusal is not None:
+        if tries.run is RunStatus.NO and tries.last_refusal is not None:
             return evolve(tries.last_refusal, retry_at_unix_s=retry_at_unix_s)
         detail = "the retries reached the deadline"
-        return refuse(Kind.DEADLINE_PASSED, tries.run, detail, retry_at_unix_s)
+        return refuse(ErrorKind.DEADLINE_PASSED, tries.run, detail, retry_at_unix_s)
 
     def _given_up(
-        self, work: Work, result: AttemptResult, tries: Tries, verdict: RetryVerdict
+        self, work: Work, result: AttemptResult, tries: Tries, verdict: RetryDecision
     ) -> Refusal:
         if tries.last_refusal is not None:
             return tries.last_refusal
-        if verdict is RetryVerdict.DEADLINE:
-            return refuse(Kind.DEADLINE_PASSED, tries.run, result.detail)
+        if verdict is RetryDecision.DEADLINE:
+            return refuse(ErrorKind.DEADLINE_PASSED, tries.run, result.detail)
         now = now_unix_s()
         retry_at_unix_s = retry_after_unix_s(self.local.expected_wait_s(work), now, self.rng)
-        kind = Kind.NO_CAPACITY if tries.run is Run.NO else Kind.OUTCOME_UNKNOWN
+        kind = ErrorKind.NO_CAPACITY if tries.run is RunStatus.NO else ErrorKind.OUTCOME_UNKNOWN
         return refuse(kind, tries.run, f"{verdict.value}: {result.detail}", retry_at_unix_s)
 
     def _final(self, refusal: Refusal, tries: Tries) -> Refusal:
         """Never say "not run" where an earlier attempt may have run."""
-        if refusal.run is Run.NO and tries.run is Run.UNKNOWN:
-            return refuse(Kind.OUTCOME_UNKNOWN, Run.UNKNOWN, refusal.detail)
+        if refusal.run is RunStatus.NO and tries.run is RunStatus.UNKNOWN:
+            return refuse(ErrorKind.OUTCOME_UNKNOWN, RunStatus.UNKNOWN, refusal.detail)
         return refusal
 
     async def _break_off(self, sink: AnswerSink, result: AttemptResult) -> Refusal:
-        refusal = refuse(Kind.OUTCOME_UNKNOWN, Run.UNKNOWN, result.detail)
+        refusal = refuse(ErrorKind.OUTCOME_UNKNOWN, RunStatus.UNKNOWN, result.detail)
         await sink.broken(refusal)
         return refusal
 
@@ -260,4 +264,4 @@
 
 
 def _is_home_lost(result: AttemptResult) -> bool:
-    return result.refusal is not None and result.refusal.kind is Kind.HOME_UNREACHABLE
+    return result.refusal is not None and result.refusal.kind is ErrorKind.HOME_UNREACHABLE
--- a/src/pomelobarrow/dispatch/local.py
+++ b/src/pomelobarrow/dispatch/local.py
@@ -12,7 +12,7 @@
 from pomelobarrow.decision.attempt import Attempt, AttemptState
 from pomelobarrow.decision.configuration import Rank
 from pomelobarrow.decision.costs import OutputEstimate, prefill_tokens
-from pomelobarrow.decision.errors import Kind, Run
+from pomelobarrow.decision.errors import ErrorKind, RunStatus
 from pomelobarrow.decision.load_table import LoadTable
 from pomelobarrow.decision.next_placement import ServerChooser, next_placement
 from pomelobarrow.decision.retries import MAX_RETRY_AFTER_S
@@ -133,7 +133,7 @@
         work = request.work
         if self.guard.refuses_after_wait(request.fingerprint):
             raise RefusedError(
-                self.guard.refusal(work.request_id, work.pool, request.fingerprint, Run.NO)
+                self.guard.refusal(work.request_id, work.pool, request.fingerprint, RunStatus.NO)
             )
 
     def expected_wait_s(self, work: Work) -> float:
@@ -148,7 +148,7 @@
             # Mostly nothing waits, and adding up the servers costs more than all the rest here.
             return 0.0
         drain_per_s = max(self.table.drain_per_s(work.pool, now), MIN_DRAIN_PER_S)
-        return ahead * max(1.0 / drain_per_s, queue.s_per_ahead(work.rank, now))
+        return ahead * max(1.0 / drain_per_s, queue.wait_per_request_ahead_s(work.rank, now))
 
     def _check_room(self, work: Work) -> None:
         refusal = refuse_unservable(
@@ -247,7 +247,7 @@
         wait_s, detail = self.expected_wait_s(work), "it can no longer finish by its deadline"
         queue = self.queue(work.pool)
         retry_at_unix_s = queue.retry_at_unix_s(work.rank, wait_s, now_unix_s(), self.rng)
-        refusal = refuse(Kind.DEADLINE_PASSED, Run.NO, detail, retry_at_unix_s)
+        refusal = refuse(ErrorKind.DEADLINE_PASSED, RunStatus.NO, detail, retry_at_unix_s)
         waiter.placed.set_exception(RefusedError(refusal))
 
     def _started(self, work: Work) -> None:
--- a/src/pomelobarrow/dispatch/resumed.py
+++ b/src/pomelobarrow/dispatch/resumed.py
@@ -4,7 +4,7 @@
 
 from attrs import define
 
-from pomelobarrow.decision.errors import Kind, Refusal, Run
+from pomelobarrow.decision.errors import ErrorKind, Refusal, RunStatus
 from pomelobarrow.decision.load_table import LoadTable
 from pomelobarrow.decision.work import BackendServer
 from pomelobarrow.dispatch.answers import AnswerSink, AttemptResult
@@ -30,11 +30,11 @@
         server = next((each for each in listed if each.name == server_name), None)
         if server is None:
             detail = f"{server_name} isn't listed in this region"
-            return refuse(Kind.OUTCOME_UNKNOWN, Run.UNKNOWN, detail)
+            return refuse(ErrorKind.OUTCOME_UNKNOWN, RunStatus.UNKNOWN, detail)
         result = await self.fetch_rest(request, server, from_event, sink)
         if result.is_finished:
             return None
-        refusal = refuse(Kind.OUTCOME_UNKNOWN, Run.UNKNOWN, result.detail)
+        refusal = refuse(ErrorKind.OUTCOME_UNKNOWN, RunStatus.UNKNOWN, result.detail)
         if result.head_passed:
             await sink.broken(refusal)
         return refusal
--- a/src/pomelobarrow/peers/crash_news.py
+++ b/src/pomelobarrow/peers/crash_news.py
@@ -6,7 +6,13 @@
 from attrs import define, field
 
 from pomelobarrow.decision.clocks import ClockOffsets
-from pomelobarrow.decision.crash_suspects import KEPT_S, Answered, Crash, CrashSuspects, Finding
+from pomelobarrow.decision.crash_suspects import (
+    CRASH_RETENTION_S,
+    Answered,
+    Crash,
+    CrashSuspects,
+    Finding,
+)
 from pomelobarrow.kernel.clock import now_unix_s
 from pomelobarrow.peers import peers_pb2 as pb
 from pomelobarrow.peers.ages import age_ms, time_of
@@ -46,7 +52,7 @@
         for each in told.findings:
             unix_s = time_of(each.age_ms, sent_unix_s)
             # False for a time that is no number, too.
-            if now - KEPT_S < unix_s <= now:
+            if now - CRASH_RETENTION_S < unix_s <= now:
                 news += self.suspects.note(_finding(each, unix_s))
         self.tell(news, peer_vm)
 
--- a/src/pomelobarrow/peers/forward_client.py
+++ b/src/pomelobarrow/peers/forward_client.py
@@ -10,7 +10,7 @@
 
 from pomelobarrow.decision.attempt import Attempt, AttemptEvent, AttemptState
 from pomelobarrow.decision.configuration import Rank
-from pomelobarrow.decision.errors import KIND_BY_LABEL, Kind, Refusal, Run
+from pomelobarrow.decision.errors import KIND_BY_LABEL, ErrorKind, Refusal, RunStatus
 from pomelobarrow.decision.member import Member
 from pomelobarrow.decision.membership import MembershipView
 from pomelobarrow.decision.region_choice import RegionLoad
@@ -135,9 +135,9 @@
     retry_at_unix_s = now_unix_s() + 1.0
     if has_refused:
         detail = f"every entry VM of {region} has refused it"
-        return refuse(Kind.NO_CAPACITY, Run.NO, detail, retry_at_unix_s)
+        return refuse(ErrorKind.NO_CAPACITY, RunStatus.NO, detail, retry_at_unix_s)
     detail = f"no entry VM of {region} can be reached"
-    return refuse(Kind.HOME_UNREACHABLE, Run.NO, detail, retry_at_unix_s)
+    return refuse(ErrorKind.HOME_UNREACHABLE, RunStatus.NO, detail, retry_at_unix_s)
 
 
 @define(kw_only=True)
@@ -269,7 +269,7 @@
 
     def _take_refusal(self, message: pb.Refusal) -> AttemptResult:
         refusal = self._refusal(message)
-        is_unrun = refusal.run is Run.NO
+        is_unrun = refusal.run is RunStatus.NO
         self.attempt.apply(AttemptEvent.REFUSE_UNRUN if is_unrun else AttemptEvent.LOSE)
         return self._result(refusal.detail, refusal)
 
@@ -277,8 +277,8 @@
         offset_s = self.forwarder.table.clock_offset_s(self.member.vm)
         retry_at_unix_s = message.retry_at_unix_s - offset_s if message.retry_at_unix_s else None
         return Refusal(
-            kind=KIND_BY_LABEL.get(message.kind, Kind.OUTCOME_UNKNOWN),
-            run=Run(message.run),
+            kind=KIND_BY_LABEL.get(message.kind, ErrorKind.OUTCOME_UNKNOWN),
+            run=RunStatus(message.run),
             detail=message.detail,
             remedy=message.remedy,
             retry_at_unix_s=retry_at_unix_s,
--- a/src/pomelobarrow/peers/forward_server.py
+++ b/src/pomelobarrow/peers/forward_server.py
@@ -7,10 +7,10 @@
 from attrs import define, evolve, field
 from grpclib.exceptions import StreamTerminatedError
 
-from pomelobarrow.decision.attempt import run_verdict
+from pomelobarrow.decision.attempt import run_status
 from pomelobarrow.decision.clocks import ClockOffsets
 from pomelobarrow.decision.configuration import Configuration, Rank, WorkClass
-from pomelobarrow.decision.errors import Kind, Refusal, Run
+from pomelobarrow.decision.errors import ErrorKind, Refusal, RunStatus
 from pomelobarrow.decision.work import Work
 from pomelobarrow.dispatch.answers import AnswerHead, CallerGoneError
 from pomelobarrow.dispatch.entry import EntryDispatch
@@ -89,7 +89,7 @@
         if not self.task.cancelled() or self.request.is_claimed:
             return UNKNOWN
         states = [attempt.state for attempt in self.request.attempts]
-        return NOT_RUN if run_verdict(states) is Run.NO else UNKNOWN
+        return NOT_RUN if run_status(states) is RunStatus.NO else UNKNOWN
 
 
 @define(kw_only=True)
@@ -143,7 +143,7 @@
         # The entry VM may have been told "not run" while this message sat in a buffer, say
         # because this process was frozen. Running it now would make that untrue.
         if self.book.is_cancelled(key):
-            return refuse(Kind.DEADLINE_PASSED, _run(message), "the entry VM has cancelled it")
+            return refuse(ErrorKind.DEADLINE_PASSED, _run(message), "the entry VM has cancelled it")
         request = self._request(message, vm)
         if isinstance(request, Refusal):
             return request
@@ -158,7 +158,7 @@
         # A claimed request goes on without its stream.
         if request.is_claimed or key in self._running:
             return
-        if run_verdict(attempt.state for attempt in request.attempts) is Run.NO:
+        if run_status(attempt.state for attempt in request.attempts) is RunStatus.NO:
             self.book.note_unrun(key, request.work.deadline_unix_s, now_unix_s())
 
     async def _fetch(self, message: pb.ResumeRequest, vm: str, sink: ForwardSink) -> Refusal | None:
@@ -204,17 +204,19 @@
         # The entry VM sent it before it heard of the stop. Begun after everything here was found
         # idle, it would be cut off and its outcome lost; refused unrun, it goes elsewhere.
         if self.is_draining() and not message.is_claim:
-            return refuse(Kind.DRAINING, Run.NO, "this VM is stopping")
+            return refuse(ErrorKind.DRAINING, RunStatus.NO, "this VM is stopping")
         configuration = self.configuration()
         work_class = configuration.classes.get(message.class_name) if configuration else None
         if work_class is None:
-            return refuse(Kind.NOT_READY, _run(message), "the class is not known here yet")
+            return refuse(ErrorKind.NOT_READY, _run(message), "the class is not known here yet")
         is_bound = work_class.home_bound or message.home_bound
         if is_bound and not _is_home(message, configuration):
-            return refuse(Kind.BAD_HOME_REGION, Run.NO, "the account's home is another region")
+            return refuse(
+                ErrorKind.BAD_HOME_REGION, RunStatus.NO, "the account's home is another region"
+            )
         deadline_unix_s = self.offsets.to_local(vm, message.deadline_unix_s) - self._back_s(vm)
         if deadline_unix_s <= now_unix_s() and not message.is_claim:
-            return refuse(Kind.DEADLINE_PASSED, Run.NO, "the deadline passed on the way")
+            return refuse(ErrorKind.DEADLINE_PASSED, RunStatus.NO, "the deadline passed on the way")
         return GatewayRequest(
             work=_work(message, work_class, deadline_unix_s),
             work_class=work_class,
@@ -230,12 +232,12 @@
         )
 
 
-def _run(message: pb.ForwardRequest) -> Run:
+def _run(message: pb.ForwardRequest) -> RunStatus:
     """Say what a refusal before any look at the ledger may claim.
 
     An earlier request under the same issued id may have run here. Only the ledger knows.
     """
-    return Run.UNKNOWN if message.is_claim else Run.NO
+    return RunStatus.UNKNOWN if message.is_claim else RunStatus.NO
 
 
 def _is_home(message: pb.ForwardRequest, configuration: Configuration | None) -> bool:
--- a/src/pomelobarrow/peers/hand_over.py
+++ b/src/pomelobarrow/peers/hand_over.py
@@ -6,8 +6,8 @@
 
 from pomelobarrow.decision.member import Member
 from pomelobarrow.decision.request_ids import (
+    AlreadyExportedError,
     EntryState,
-    HandedOverError,
     LedgerEntry,
     LedgerExport,
     Outcome,
@@ -35,7 +35,7 @@
     for vm, incarnation in ledger.issuers:
         try:
             export = ledger.export((vm, incarnation))
-        except HandedOverError as error:
+        except AlreadyExportedError as error:
             log.warning("not handed over", issuer=vm, reason=str(error))
             continue
         if await _send(_message(vm, incarnation, export, own.vm), own.vm, link, keys):
--- a/src/pomelobarrow/relay/front.py
+++ b/src/pomelobarrow/relay/front.py
@@ -10,9 +10,9 @@
 
 from pomelobarrow.callers.headers import check_text
 from pomelobarrow.decision.configuration import Rank
-from pomelobarrow.decision.errors import Kind, Refusal, Run
+from pomelobarrow.decision.errors import ErrorKind, Refusal, RunStatus
 from pomelobarrow.decision.routing import Route, Routing
-from pomelobarrow.decision.turning_away import MIN_RETRY_AFTER_S
+from pomelobarrow.decision.stream_admission import MIN_RETRY_AFTER_S
 from pomelobarrow.decision.work import Work
 from pomelobarrow.dispatch.answers import CallerGoneError
 from pomelobarrow.dispatch.refusals import refuse
@@ -61,7 +61,7 @@
         accepted_unix_s = now_unix_s()
         routing = await self._routing_once_known(accepted_unix_s)
         if routing is None:
-            refusal = refuse(Kind.NOT_READY, Run.NO, "no configuration yet")
+            refusal = refuse(ErrorKind.NOT_READY, RunStatus.NO, "no configuration yet")
             return await self._refuse(incoming, refusal)
         read = self._read(incoming, routing, forwarded_by)
         if isinstance(read, Err):
@@ -161,7 +161,7 @@
         return Ok(await incoming.read() if incoming.can_read_body else b"")
     except web.HTTPRequestEntityTooLarge:
         detail = "the body is too large"
-        return Err(refuse(Kind.BODY_TOO_LARGE, Run.NO, detail, remedy="send less"))
+        return Err(refuse(ErrorKind.BODY_TOO_LARGE, RunStatus.NO, detail, remedy="send less"))
     except web.RequestPayloadError:
         return Err(_malformed("the body's framing is broken"))
 
@@ -171,7 +171,7 @@
 
 
 def _malformed(detail: str) -> Refusal:
-    return refuse(Kind.MALFORMED_REQUEST, Run.NO, detail, remedy=REMEDY_REQUEST)
+    return refuse(ErrorKind.MALFORMED_REQUEST, RunStatus.NO, detail, remedy=REMEDY_REQUEST)
 
 
 def _no_route(forwarded_by: str) -> Refusal:
@@ -180,14 +180,14 @@
     A peer that passed it on knows the route: this VM is behind and must not say that there is none.
     """
     if forwarded_by:
-        return refuse(Kind.NOT_READY, Run.NO, "the route is not known here yet")
+        return refuse(ErrorKind.NOT_READY, RunStatus.NO, "the route is not known here yet")
     remedy = "ask for a host and path that are published"
-    return refuse(Kind.UNKNOWN_SERVICE, Run.NO, "no route matches", remedy=remedy)
+    return refuse(ErrorKind.UNKNOWN_SERVICE, RunStatus.NO, "no route matches", remedy=remedy)
 
 
 def _stops_too_soon(now_unix_s: float) -> Refusal:
     detail = "this VM stops before it could surely finish"
-    return refuse(Kind.DRAINING, Run.NO, detail, now_unix_s + MIN_RETRY_AFTER_S)
+    return refuse(ErrorKind.DRAINING, RunStatus.NO, detail, now_unix_s + MIN_RETRY_AFTER_S)
 
 
 def _closed(incoming: web.BaseRequest) -> web.StreamResponse:
--- a/src/pomelobarrow/relay/hop.py
+++ b/src/pomelobarrow/relay/hop.py
@@ -5,7 +5,7 @@
 import aiohttp
 from attrs import evolve
 
-from pomelobarrow.decision.errors import Kind, Refusal, Run
+from pomelobarrow.decision.errors import ErrorKind, Refusal, RunStatus
 from pomelobarrow.decision.member import Member
 from pomelobarrow.relay.attempt import Target
 from pomelobarrow.relay.messages import Headers, RelayRequest, ServerAnswerHead
@@ -42,8 +42,8 @@
 ) -> Headers:
     """Return what tells the VM that passed a request on whether it ran, and what it ended."""
     run = refusal.run.value
-    if refusal.run is Run.NO and not was_sent:
-        run = BLOCKED if refusal.kind is Kind.CRASHES_SERVERS else UNSENT
+    if refusal.run is RunStatus.NO and not was_sent:
+        run = BLOCKED if refusal.kind is ErrorKind.CRASHES_SERVERS else UNSENT
     ended = () if ended_server_key is None else ((ENDED_HEADER, f"{ended_server_key:x}"),)
     return ((RUN_HEADER, run), *ended)
 
@@ -80,7 +80,7 @@
         if run is None:
             return evolve(head, is_not_run=False)
         is_unsent, is_blocked = run == UNSENT, run == BLOCKED
-        is_not_run = is_unsent or is_blocked or run == Run.NO.value
+        is_not_run = is_unsent or is_blocked or run == RunStatus.NO.value
         return evolve(
             head,
             is_not_run=is_not_run,
--- a/src/pomelobarrow/relay/relay.py
+++ b/src/pomelobarrow/relay/relay.py
@@ -10,13 +10,13 @@
 from pomelobarrow.backends.sessions import BackendSessions
 from pomelobarrow.callers.problems import problem_body
 from pomelobarrow.decision.costs import prefill_tokens
-from pomelobarrow.decision.errors import Kind, Refusal, Run
+from pomelobarrow.decision.errors import ErrorKind, Refusal, RunStatus
 from pomelobarrow.decision.placement import Placer
 from pomelobarrow.decision.placement_request import Nowhere, OnPeer, OnServer
-from pomelobarrow.decision.retry_line import RetryLine
+from pomelobarrow.decision.retry_schedule import RetrySchedule
 from pomelobarrow.decision.retry_share import RetryShare
 from pomelobarrow.decision.routing import Routing
-from pomelobarrow.decision.turning_away import MIN_RETRY_AFTER_S, retry_at_unix_s
+from pomelobarrow.decision.stream_admission import MIN_RETRY_AFTER_S, retry_at_unix_s
 from pomelobarrow.decision.work import BackendServer, LoadReport, Placement
 from pomelobarrow.dispatch.answers import CallerGoneError
 from pomelobarrow.dispatch.crash_guard import CrashGuard, server_key
@@ -64,7 +64,7 @@
     guard: CrashGuard = field(factory=CrashGuard)
     log: RelayLog = field(init=False)
     in_progress: int = 0
-    retry_line: RetryLine = field(factory=RetryLine)
+    retry_line: RetrySchedule = field(factory=RetrySchedule)
     first_answers: FirstAnswers = field(factory=FirstAnswers)
 
     def __attrs_post_init__(self) -> None:
@@ -156,7 +156,7 @@
 
     def _take_repeat(self, course: Course) -> bool:
         live_vms = len(self.placer.members.live)
-        return self.retries.take_repeat(course.request.work.pool, live_vms, now_unix_s())
+        return self.retries.try_take_retry(course.request.work.pool, live_vms, now_unix_s())
 
     async def _send(self, course: Course, decision: OnServer | OnPeer) -> AttemptReport:
         course.tries.attempts += 1
@@ -171,7 +171,7 @@
         tokens = prefill_tokens(work, placement.cached_tokens)
         kv_tokens = tokens + work.expected_output_tokens
         if not course.tries.was_sent:
-            self.retries.note_first(work.pool, now)
+            self.retries.record_first_arrival(work.pool, now)
         self.placer.note_placed(server, now)
         table.prefixes.observe_placement(server.name, work.prefix_hashes)
         table.charge(work.request_id, server.name, tokens, now, kv_tokens)
@@ -261,12 +261,12 @@
         if not route.is_repeatable or is_suspect or course.tries.attempts_left < 2:
             return None
 
-        def take_repeat() -> bool:
+        def try_take_retry() -> bool:
             course.has_repeat = self._take_repeat(course)
             return course.has_repeat
 
         patience_s = self.first_answers.patience_s(route.name, placement.expected_wait_s)
-        return Patience(lasts_s=patience_s, may_give_up=take_repeat)
+        return Patience(lasts_s=patience_s, may_give_up=try_take_retry)
 
     def _note_said(self, server: BackendServer, head: ServerAnswerHead) -> None:
         """Take in what a server says of itself with an answer."""
@@ -347,28 +347,28 @@
         refusal = self._refusal(course, step)
         request_id = course.request.work.request_id
         await self.refuse(refusal, request_id, course.sink, course.tries)
-        return "refused" if refusal.run is Run.NO else "failed"
+        return "refused" if refusal.run is RunStatus.NO else "failed"
 
     def _refusal(self, course: Course, step: Step) -> Refusal:
         work, detail = course.request.work, course.tries.last_detail
         if step is Step.BLOCK:
-            run = Run.UNKNOWN if course.tries.may_have_run else Run.NO
+            run = RunStatus.UNKNOWN if course.tries.may_have_run else RunStatus.NO
             return self.guard.refusal(work.request_id, work.pool, course.request.fingerprint, run)
         if step is Step.FAIL:
             is_late = now_unix_s() >= work.deadline_unix_s
-            kind = Kind.DEADLINE_PASSED if is_late else Kind.OUTCOME_UNKNOWN
-            return refuse(kind, Run.UNKNOWN, detail)
+            kind = ErrorKind.DEADLINE_PASSED if is_late else ErrorKind.OUTCOME_UNKNOWN
+            return refuse(kind, RunStatus.UNKNOWN, detail)
         now = now_unix_s()
         if course.tries.attempts and not course.nowhere_wait_s:
             pause_s = MIN_RETRY_AFTER_S * self.rng.uniform(1.0, 1.0 + RETRY_JITTER)
-            return refuse(Kind.NO_CAPACITY, Run.NO, detail, now + pause_s)
+            return refuse(ErrorKind.NO_CAPACITY, RunStatus.NO, detail, now + pause_s)
         # Without any server the queue's pace says nothing; that lasts longer than a full one does.
         wait_s = course.nowhere_wait_s or max(0.0, work.deadline_unix_s - now)
         taken_per_s = self.placer.table.drain_per_s(work.pool, now) / self._vms_here
         retry_at = retry_at_unix_s(
             self.retry_line, wait_s, taken_per_s, work.deadline_unix_s, now, self.rng
         )
-        return refuse(Kind.NO_CAPACITY, Run.NO, detail, retry_at)
+        return refuse(ErrorKind.NO_CAPACITY, RunStatus.NO, detail, retry_at)
 
     @property
     def _vms_here(self) -> int:
--- a/src/pomelobarrow/relay/relay_log.py
+++ b/src/pomelobarrow/relay/relay_log.py
@@ -4,7 +4,7 @@
 
 from attrs import define
 
-from pomelobarrow.decision.fingerprint import readable
+from pomelobarrow.decision.fingerprint import format_fingerprint
 from pomelobarrow.decision.load_table import LoadTable
 from pomelobarrow.decision.placement_request import Nowhere, OnPeer, OnServer
 from pomelobarrow.decision.region_choice import RegionLoad
@@ -114,7 +114,7 @@
             RelayEnded(
                 request_id=work.request_id,
                 route=course.request.route.name,
-                fingerprint=readable(course.request.fingerprint),
+                fingerprint=format_fingerprint(course.request.fingerprint),
                 outcome=outcome,
                 status=course.sink.status,
                 detail=course.tries.last_detail,
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -9,7 +9,7 @@
 from pomelobarrow.decision.admission import admit
 from pomelobarrow.decision.configuration import Rank
 from pomelobarrow.decision.costs import OutputEstimate, estimate_prompt_tokens, prefix_hashes
-from pomelobarrow.decision.errors import Kind, Refusal, Run
+from pomelobarrow.decision.errors import ErrorKind, Refusal, RunStatus
 from pomelobarrow.decision.limits import AccountLimits
 from pomelobarrow.decision.pool_wait import expected_wait_s
 from pomelobarrow.decision.service_times import DEFAULT_PREFILL_TOKENS_PER_S
@@ -42,15 +42,15 @@
 @pytest.mark.parametrize(
     ("deadline_unix_s", "wait_s", "kind"),
     [
-        pytest.param(0.5, 0.0, Kind.DEADLINE_PASSED, id="already past"),
-        pytest.param(10.0, 8.0, Kind.OVERLOADED, id="can't finish"),
+        pytest.param(0.5, 0.0, ErrorKind.DEADLINE_PASSED, id="already past"),
+        pytest.param(10.0, 8.0, ErrorKind.OVERLOADED, id="can't finish"),
     ],
 )
 def test_work_that_is_too_late_is_refused_unrun(
-    deadline_unix_s: float, wait_s: float, kind: Kind
+    deadline_unix_s: float, wait_s: float, kind: ErrorKind
 ) -> None:
     refused = refusal(ask(work(deadline_unix_s=deadline_unix_s), wait_s=wait_s))
-    assert (refused.kind, refused.run) == (kind, Run.NO)
+    assert (refused.kind, refused.run) == (kind, RunStatus.NO)
     assert refused.remedy
 
 
@@ -59,7 +59,7 @@
     for number in range(MAX_WAITING[Rank.TRIAL]):
         queue.push(trial(f"t{number}"), 0.0)
     refused = refusal(ask(trial("next"), queue=queue))
-    assert refused.kind is Kind.OVERLOADED
+    assert refused.kind is ErrorKind.OVERLOADED
     assert refused.retry_at_unix_s is not None
     assert refused.retry_at_unix_s > 1.0
     assert isinstance(ask(work(), queue=queue), Ok)
--- a/tests/test_attempt.py
+++ b/tests/test_attempt.py
@@ -12,10 +12,10 @@
     AttemptEvent,
     AttemptState,
     IllegalTransitionError,
-    may_try_again,
-    run_verdict,
+    may_retry,
+    run_status,
 )
-from pomelobarrow.decision.errors import Run
+from pomelobarrow.decision.errors import RunStatus
 
 picks = st.integers(0, 9)
 
@@ -40,7 +40,7 @@
     @rule()
     def try_again(self):
         states = [attempt.state for attempt in self.attempts]
-        if may_try_again(states, repeatable=False):
+        if may_retry(states, repeatable=False):
             for attempt in self.attempts:
                 attempt.apply(AttemptEvent.LOSE)
             self.attempts.append(Attempt())
@@ -99,7 +99,7 @@
     def the_verdict_is_true_and_nothing_ran_twice(self):
         may_have_run = [executor.ran or executor.may_still_start for executor in self.executors]
         assert sum(may_have_run) <= 1
-        if run_verdict(attempt.state for attempt in self.attempts) is Run.NO:
+        if run_status(attempt.state for attempt in self.attempts) is RunStatus.NO:
             assert not any(may_have_run)
         for attempt, executor in zip(self.attempts, self.executors, strict=True):
             assert executor.ended or attempt.state is not AttemptState.FINISHED
@@ -122,9 +122,9 @@
 @pytest.mark.parametrize("states", [*itertools.product(AttemptState, repeat=2)])
 def test_not_run_needs_every_attempt_to_be_certain(states):
     certain = {AttemptState.NOT_SENT, AttemptState.REFUSED_UNRUN}
-    assert (run_verdict(states) is Run.NO) == (set(states) <= certain)
-    assert may_try_again(states, repeatable=False) == (set(states) <= certain)
-    assert may_try_again(states, repeatable=True) == (AttemptState.FINISHED not in states)
+    assert (run_status(states) is RunStatus.NO) == (set(states) <= certain)
+    assert may_retry(states, repeatable=False) == (set(states) <= certain)
+    assert may_retry(states, repeatable=True) == (AttemptState.FINISHED not in states)
 
 
 def test_an_attempt_given_up_before_it_was_sent_is_never_sent_late():
@@ -143,4 +143,4 @@
         attempt.apply(event)
     with pytest.raises(IllegalTransitionError, match="report the outcome as unknown"):
         attempt.apply(word)
-    assert run_verdict([attempt.state]) is Run.UNKNOWN
+    assert run_status([attempt.state]) is RunStatus.UNKNOWN
--- a/tests/test_callers_entries.py
+++ b/tests/test_callers_entries.py
@@ -5,7 +5,7 @@
 
 from pomelobarrow.callers.entries import EntryDirectory
 from pomelobarrow.decision.configuration import Account
-from pomelobarrow.decision.errors import Kind, Run
+from pomelobarrow.decision.errors import ErrorKind, RunStatus
 from pomelobarrow.decision.member import Member, Phase
 from pomelobarrow.decision.membership import MembershipView
 from pomelobarrow.decision.request_ids import RequestIdLedger
@@ -30,7 +30,7 @@
         answer = directory(phase).answer(ACCOUNT, REGION, {})
         assert isinstance(answer, Err)
         refusal = answer.err_value
-        assert (refusal.kind, refusal.run) == (Kind.NOT_READY, Run.NO)
+        assert (refusal.kind, refusal.run) == (ErrorKind.NOT_READY, RunStatus.NO)
         assert refusal.remedy == "ask GET /v1/entries for another entry VM"
         assert refusal.retry_at_unix_s is not None
 
--- a/tests/test_callers_fuzz.py
+++ b/tests/test_callers_fuzz.py
@@ -9,7 +9,7 @@
 
 from pomelobarrow.callers import headers, parsing
 from pomelobarrow.decision.configuration import WorkClass
-from pomelobarrow.decision.errors import Run
+from pomelobarrow.decision.errors import RunStatus
 from pomelobarrow.decision.issued_id import format_id, is_authentic, parse_issuer
 
 NOW_UNIX_S = 1_800_000_000.0
@@ -41,7 +41,7 @@
             assert chat.prompt_tokens >= 0
             assert chat.max_tokens is None or chat.max_tokens > 0
         case Err(refusal):
-            assert refusal.run is Run.NO
+            assert refusal.run is RunStatus.NO
             assert 400 <= refusal.kind.status < 500
             assert refusal.remedy
 
@@ -56,7 +56,7 @@
             assert math.isfinite(deadline_unix_s)
             assert deadline_unix_s > NOW_UNIX_S
         case Err(refusal):
-            assert refusal.run is Run.NO
+            assert refusal.run is RunStatus.NO
 
 
 @given(st.dictionaries(ANY_TEXT, ANY_TEXT))
--- a/tests/test_crash_suspects.py
+++ b/tests/test_crash_suspects.py
@@ -5,8 +5,8 @@
 
 from pomelobarrow.decision.crash_suspects import (
     ANSWER_CLEARS_FOR_S,
+    CRASH_RETENTION_S,
     CRASHES_TO_BLOCK,
-    KEPT_S,
     MAX_ANSWERED,
     MAX_SUSPECTS,
     TRIAL_AFTER_S,
@@ -101,7 +101,7 @@
         (second, view.own_vm)
         for second in range(200)
         for view in views
-        if view.take_trial(1, VMS, 100.0 + second)
+        if view.try_start_trial(1, VMS, 100.0 + second)
     ]
     seconds = [second for second, _ in let_through]
     assert seconds == [int(after_s + turn * TRIAL_TURN_S) for turn in range(len(VMS))]
@@ -114,7 +114,7 @@
     trials = [
         minute
         for minute in range(2, 50)
-        if views[minute % len(VMS)].take_trial(1, VMS, 100.0 + 60.0 * minute + minute)
+        if views[minute % len(VMS)].try_start_trial(1, VMS, 100.0 + 60.0 * minute + minute)
     ]
     assert trials
 
@@ -122,9 +122,9 @@
 def test_crashing_request_ends_two_more_servers_at_most_by_trials() -> None:
     views = [blocked(vm) for vm in VMS]
     ended = 0
-    for second in range(int(KEPT_S)):
+    for second in range(int(CRASH_RETENTION_S)):
         for view in views:
-            if view.take_trial(1, VMS, 100.0 + second):
+            if view.try_start_trial(1, VMS, 100.0 + second):
                 ended += 1
                 for other in views:
                     other.note(crash(100 + ended, 100.0 + second))
@@ -135,9 +135,9 @@
     views = [blocked(vm) for vm in VMS]
     second, view = next(
         (second, view)
-        for second in range(int(KEPT_S))
+        for second in range(int(CRASH_RETENTION_S))
         for view in views
-        if view.take_trial(1, VMS, 100.0 + second)
+        if view.try_start_trial(1, VMS, 100.0 + second)
     )
     assert second <= TRIAL_AFTER_S[CRASHES_TO_BLOCK] + len(VMS) * TRIAL_TURN_S
     for finding in view.answered(1, 100.0 + second):
@@ -148,8 +148,8 @@
 
 def test_blocked_request_is_forgotten_after_an_hour() -> None:
     suspects = blocked(crashes=8)
-    assert suspects.suspicion(1, 99.0 + KEPT_S) is Suspicion.BLOCKED
-    assert suspects.suspicion(1, 101.0 + KEPT_S) is Suspicion.NONE
+    assert suspects.suspicion(1, 99.0 + CRASH_RETENTION_S) is Suspicion.BLOCKED
+    assert suspects.suspicion(1, 101.0 + CRASH_RETENTION_S) is Suspicion.NONE
     assert suspects.crashes() == []
 
 
--- a/tests/test_dispatch_claims.py
+++ b/tests/test_dispatch_claims.py
@@ -11,7 +11,7 @@
 
 from pomelobarrow.decision.attempt import Attempt, AttemptState
 from pomelobarrow.decision.configuration import Rank, WorkClass
-from pomelobarrow.decision.errors import Kind, Refusal, Run
+from pomelobarrow.decision.errors import ErrorKind, Refusal, RunStatus
 from pomelobarrow.decision.request_ids import RequestIdLedger
 from pomelobarrow.decision.work import Work
 from pomelobarrow.dispatch.answers import AnswerHead, AnswerSink, AttemptResult
@@ -20,8 +20,8 @@
 from pomelobarrow.dispatch.request import GatewayRequest
 
 ACCOUNT = "a"
-REFUSED = refuse(Kind.NO_CAPACITY, Run.NO, "no room")
-LOST = refuse(Kind.OUTCOME_UNKNOWN, Run.UNKNOWN, "lost")
+REFUSED = refuse(ErrorKind.NO_CAPACITY, RunStatus.NO, "no room")
+LOST = refuse(ErrorKind.OUTCOME_UNKNOWN, RunStatus.UNKNOWN, "lost")
 STEPS = 12
 
 
@@ -140,7 +140,7 @@
     repeat = await claimed.dispatch(request_of(request_id), Sink())
     claimed.after_run(request_id, lambda: over.append("repeat"))
     assert repeat is not None
-    assert repeat.kind is Kind.STILL_RUNNING
+    assert repeat.kind is ErrorKind.STILL_RUNNING
     assert over == ["repeat"]
     dispatcher.waiting[0].set_result(None)
     await steps()
@@ -161,17 +161,17 @@
     await steps()
     dispatcher.waiting[0].set_result(LOST)
     await first
-    over = refuse(Kind.ACCOUNT_LIMIT, Run.NO, "over the limit", time.time() + 1)
+    over = refuse(ErrorKind.ACCOUNT_LIMIT, RunStatus.NO, "over the limit", time.time() + 1)
     repeat = await claimed.refuse(request_of(used), over, Sink())
     assert repeat is not None
-    assert repeat.run is Run.UNKNOWN
+    assert repeat.run is RunStatus.UNKNOWN
     fresh = await claimed.refuse(request_of(unused), over, Sink())
     assert fresh is not None
-    assert (fresh.kind, fresh.run) == (Kind.ACCOUNT_LIMIT, Run.NO)
+    assert (fresh.kind, fresh.run) == (ErrorKind.ACCOUNT_LIMIT, RunStatus.NO)
     elsewhere, _ = claims(vm="vm-2")
     from_elsewhere = await elsewhere.refuse(request_of(used), over, Sink())
     assert from_elsewhere is not None
-    assert from_elsewhere.run is Run.UNKNOWN
+    assert from_elsewhere.run is RunStatus.UNKNOWN
 
 
 class OneIdAtMostOnce(RuleBasedStateMachine):
@@ -241,7 +241,7 @@
 
     def note(self, request_id: str, done: "asyncio.Task[Refusal | None]") -> None:
         refusal = None if done.cancelled() else done.result()
-        if refusal is not None and refusal.run is Run.NO:
+        if refusal is not None and refusal.run is RunStatus.NO:
             self.told_unrun.add(request_id)
 
     @invariant()
--- a/tests/test_dispatch_crashing_request.py
+++ b/tests/test_dispatch_crashing_request.py
@@ -11,7 +11,7 @@
 from work_builders import SERVER
 
 from pomelobarrow.decision.attempt import Attempt, AttemptState
-from pomelobarrow.decision.errors import Kind, Run
+from pomelobarrow.decision.errors import ErrorKind, RunStatus
 from pomelobarrow.decision.load_table import LoadTable
 from pomelobarrow.decision.region_choice import ShareOutsideHome
 from pomelobarrow.decision.work import BackendServer, Placement
@@ -70,7 +70,7 @@
     assert servers.ended == 3
     last = refusals[-1]
     assert last is not None
-    assert (last.kind, last.run) == (Kind.CRASHES_SERVERS, Run.NO)
+    assert (last.kind, last.run) == (ErrorKind.CRASHES_SERVERS, RunStatus.NO)
     assert last.retry_at_unix_s is None
 
 
@@ -81,7 +81,7 @@
     refusal = await dispatcher_of(servers, guard).dispatch(request_of(True), Sink())
     assert servers.ended == 2
     assert refusal is not None
-    assert (refusal.kind, refusal.run) == (Kind.OUTCOME_UNKNOWN, Run.UNKNOWN)
+    assert (refusal.kind, refusal.run) == (ErrorKind.OUTCOME_UNKNOWN, RunStatus.UNKNOWN)
 
 
 async def test_peers_refusal_of_a_crashing_request_is_final() -> None:
@@ -93,13 +93,13 @@
             return AttemptResult(
                 state=AttemptState.REFUSED_UNRUN,
                 peer="vm-1",
-                refusal=refuse(Kind.CRASHES_SERVERS, Run.NO, "known there"),
+                refusal=refuse(ErrorKind.CRASHES_SERVERS, RunStatus.NO, "known there"),
             )
 
     guard = CrashGuard()
     peers = Peers(guard)
     refusal = await dispatcher_of(peers, guard).dispatch(request_of(True), Sink())
-    assert (peers.ended, refusal and refusal.kind) == (1, Kind.CRASHES_SERVERS)
+    assert (peers.ended, refusal and refusal.kind) == (1, ErrorKind.CRASHES_SERVERS)
 
 
 async def test_request_that_waits_while_its_like_ends_servers_is_refused_unrun() -> None:
--- a/tests/test_dispatch_refusals.py
+++ b/tests/test_dispatch_refusals.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from pomelobarrow.decision.errors import Kind, Run
+from pomelobarrow.decision.errors import ErrorKind, RunStatus
 from pomelobarrow.dispatch.refusals import PAUSE_S_BY_KIND, refuse
 from pomelobarrow.kernel.clock import now_unix_s
 
@@ -10,13 +10,13 @@
 @pytest.mark.parametrize("kind", PAUSE_S_BY_KIND, ids=lambda kind: kind.label)
 def test_refusal_that_passes_by_itself_says_when_to_come_back(kind):
     started_unix_s = now_unix_s()
-    refusal = refuse(kind, Run.NO, "not now")
+    refusal = refuse(kind, RunStatus.NO, "not now")
     assert refusal.retry_at_unix_s >= started_unix_s + PAUSE_S_BY_KIND[kind]
 
 
 def test_estimated_time_goes_before_the_default():
-    assert refuse(Kind.OVERLOADED, Run.NO, "full", 12.0).retry_at_unix_s == 12.0
+    assert refuse(ErrorKind.OVERLOADED, RunStatus.NO, "full", 12.0).retry_at_unix_s == 12.0
 
 
 def test_unknown_outcome_names_no_time():
-    assert refuse(Kind.DRAINING, Run.UNKNOWN, "stopping").retry_at_unix_s is None
+    assert refuse(ErrorKind.DRAINING, RunStatus.UNKNOWN, "stopping").retry_at_unix_s is None
--- a/tests/test_dispatch_sweep.py
+++ b/tests/test_dispatch_sweep.py
@@ -8,7 +8,7 @@
 
 from pomelobarrow.decision.attempt import Attempt
 from pomelobarrow.decision.configuration import Rank, WorkClass
-from pomelobarrow.decision.errors import Kind, Run
+from pomelobarrow.decision.errors import ErrorKind, RunStatus
 from pomelobarrow.decision.load_table import LoadTable
 from pomelobarrow.decision.work import Placement, Work
 from pomelobarrow.dispatch.answers import AnswerSink, AttemptResult
@@ -86,7 +86,7 @@
     with pytest.raises(RefusedError) as raised:
         task.result()
     refusal = raised.value.refusal
-    assert (refusal.kind, refusal.run) == (Kind.DEADLINE_PASSED, Run.NO)
+    assert (refusal.kind, refusal.run) == (ErrorKind.DEADLINE_PASSED, RunStatus.NO)
     assert refusal.retry_at_unix_s is not None
     # Without servers nothing drains; the wait that follows from that would be days.
     assert 0.0 < refusal.retry_at_unix_s - time.time() < 60.0
--- a/tests/test_dispatch_verdicts.py
+++ b/tests/test_dispatch_verdicts.py
@@ -11,7 +11,7 @@
 
 from pomelobarrow.callers.sinks import HttpSink
 from pomelobarrow.decision.attempt import UNRUN_STATES, Attempt, AttemptState
-from pomelobarrow.decision.errors import Kind, Refusal, Run
+from pomelobarrow.decision.errors import ErrorKind, Refusal, RunStatus
 from pomelobarrow.decision.load_table import LoadTable
 from pomelobarrow.decision.region_choice import RegionLoad, ShareOutsideHome
 from pomelobarrow.decision.work import Work
@@ -21,7 +21,7 @@
 from pomelobarrow.dispatch.dispatcher import Dispatcher
 from pomelobarrow.dispatch.refusals import RefusedError, refuse
 
-NO_ROOM = refuse(Kind.OVERLOADED, Run.NO, "the queue is full")
+NO_ROOM = refuse(ErrorKind.OVERLOADED, RunStatus.NO, "the queue is full")
 # A peer's own word; its refusal says what its state says.
 PEER_REFUSALS = {AttemptState.REFUSED_UNRUN: NO_ROOM}
 STATES = st.sampled_from(
@@ -113,7 +113,7 @@
     if not repeatable:
         assert len(may_have_run) <= 1
         assert not may_have_run or states[-1] is may_have_run[0]
-    if refusal is not None and refusal.run is Run.NO:
+    if refusal is not None and refusal.run is RunStatus.NO:
         assert may_have_run == []
     assert sink.broken_off <= 1
 
--- a/tests/test_forward_client.py
+++ b/tests/test_forward_client.py
@@ -16,7 +16,7 @@
 from harness.peer_handlers import PeerHandlersStub
 from harness.processes import free_ports
 from pomelobarrow.decision.attempt import Attempt, AttemptState
-from pomelobarrow.decision.errors import Kind, Run
+from pomelobarrow.decision.errors import ErrorKind, RunStatus
 from pomelobarrow.decision.member import Member
 from pomelobarrow.dispatch.answers import END_EVENT, SERVER_SENT_EVENTS, AnswerHead
 from pomelobarrow.kernel.settings import PeerKey
@@ -40,7 +40,9 @@
 )
 REFUSED = (
     pb.ForwardEvent(
-        refusal=pb.Refusal(kind=Kind.OVERLOADED.label, run=Run.NO.value, detail="no room")
+        refusal=pb.Refusal(
+            kind=ErrorKind.OVERLOADED.label, run=RunStatus.NO.value, detail="no room"
+        )
     ),
 )
 SHORT = (
--- a/tests/test_forward_server.py
+++ b/tests/test_forward_server.py
@@ -5,7 +5,7 @@
 from harness.deployments import RONDINELLA, configuration_values
 from pomelobarrow.decision.clocks import ClockOffsets
 from pomelobarrow.decision.configuration_check import check_configuration
-from pomelobarrow.decision.errors import Kind
+from pomelobarrow.decision.errors import ErrorKind
 from pomelobarrow.kernel.clock import now_unix_s
 from pomelobarrow.peers import peers_pb2 as pb
 from pomelobarrow.peers.forward_server import ForwardServer
@@ -94,5 +94,5 @@
 async def test_passed_deadline_is_refused_unrun_whatever_the_clock(ahead_s):
     requests, events = await forward(ahead_s, -1.0)
     assert requests == []
-    assert events[0].refusal.kind == Kind.DEADLINE_PASSED.label
+    assert events[0].refusal.kind == ErrorKind.DEADLINE_PASSED.label
     assert events[0].refusal.run == "no"
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -6,7 +6,7 @@
 
 from pomelobarrow.decision.demand import Demand
 from pomelobarrow.decision.limits import AccountLimits
-from pomelobarrow.decision.rate_meter import RateMeter
+from pomelobarrow.decision.rate_limiter import RateLimiter
 
 LIMIT_PER_S = ACCOUNT.max_requests_per_s
 
@@ -107,7 +107,7 @@
 
 
 def test_a_refusal_says_when_the_next_request_is_admitted() -> None:
-    meter = RateMeter()
+    meter = RateLimiter()
     while meter.next_unix_s(2.0, 0.0) <= 0.0:
         meter.count(0.0)
     retry_at_unix_s = meter.next_unix_s(2.0, 0.0)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -89,7 +89,7 @@
     assert deliver(current, engine)
     deliver(late, engine)
     assert served(engine) in (["v2"], [])
-    first.observe_highest(server.name, engine.fencing)
+    first.observe_highest_fencing(server.name, engine.fencing)
     first.observe_pause(3 * ORDER_LIFE_S)
     assert first.due([server], configuration("v1", 2), 3 * ORDER_LIFE_S) == []
     assert not server.checks_fencing or not first.due(
--- a/tests/test_proof_circle.py
+++ b/tests/test_proof_circle.py
@@ -20,7 +20,7 @@
 from harness.fleet import Fleet
 from pomelobarrow.decision.attempt import Attempt, AttemptState
 from pomelobarrow.decision.configuration import Rank, WorkClass
-from pomelobarrow.decision.errors import Kind, Refusal, Run
+from pomelobarrow.decision.errors import ErrorKind, Refusal, RunStatus
 from pomelobarrow.decision.region_choice import RegionLoad, ShareOutsideHome
 from pomelobarrow.decision.request_ids import RequestIdLedger
 from pomelobarrow.decision.work import Work
@@ -52,7 +52,7 @@
 
     async def run(self, request: GatewayRequest, attempt: Attempt, *rest: Any) -> AttemptResult:
         self.visits.append(f"run at {self.vm}")
-        refusal = refuse(Kind.NO_CAPACITY, Run.NO, "none is free")
+        refusal = refuse(ErrorKind.NO_CAPACITY, RunStatus.NO, "none is free")
         return AttemptResult(state=AttemptState.REFUSED_UNRUN, server="s", refusal=refusal)
 
 
@@ -102,7 +102,7 @@
         self.hops.append((source, target))
         refusal = await self.dispatch(target, evolve(request, forwarded_by=source))
         assert refusal is not None
-        state = AttemptState.REFUSED_UNRUN if refusal.run is Run.NO else AttemptState.UNKNOWN
+        state = AttemptState.REFUSED_UNRUN if refusal.run is RunStatus.NO else AttemptState.UNKNOWN
         return AttemptResult(state=state, refusal=refusal, peer=target)
 
     async def dispatch(self, vm: str, request: GatewayRequest) -> Refusal | None:
--- a/tests/test_request_ids.py
+++ b/tests/test_request_ids.py
@@ -8,8 +8,8 @@
 from hypothesis.stateful import Bundle, RuleBasedStateMachine, consumes, invariant, multiple, rule
 
 from pomelobarrow.decision.request_ids import (
+    AlreadyExportedError,
     ClaimKind,
-    HandedOverError,
     Outcome,
     RequestIdLedger,
     entries_needed,
@@ -99,7 +99,7 @@
         for issuer in ledger.issuers:
             try:
                 export = ledger.export(issuer)
-            except HandedOverError:
+            except AlreadyExportedError:
                 stays = False
                 continue
             if to == vm or not self.ledgers[to].adopt(*issuer, export):
--- a/tests/test_retry_share.py
+++ b/tests/test_retry_share.py
@@ -18,9 +18,9 @@
     taken: list[float] = []
     for place, now_unix_s in enumerate(sorted(times_s)):
         share = shares[place % vms]
-        share.note_first("p", now_unix_s)
+        share.record_first_arrival("p", now_unix_s)
         for _ in range(5):
-            if share.take_repeat("p", vms, now_unix_s):
+            if share.try_take_retry("p", vms, now_unix_s):
                 taken.append(now_unix_s)
     for start_unix_s in taken:
         in_window = [t for t in taken if start_unix_s <= t < start_unix_s + BOUND.window_s]
@@ -30,7 +30,7 @@
 
 def test_window_slides() -> None:
     share = RetryShare(bound=RetryBound(ratio=0.0, slack=2.0, window_s=10.0))
-    assert [share.take_repeat("p", 1, t) for t in (0.0, 1.0, 9.0, 11.0)] == [
+    assert [share.try_take_retry("p", 1, t) for t in (0.0, 1.0, 9.0, 11.0)] == [
         True,
         False,
         False,
@@ -40,5 +40,5 @@
 
 def test_pools_are_counted_apart() -> None:
     share = RetryShare(bound=RetryBound(ratio=0.0, slack=2.0, window_s=10.0))
-    assert share.take_repeat("p", 1, 0.0)
-    assert share.take_repeat("q", 1, 0.0)
+    assert share.try_take_retry("p", 1, 0.0)
+    assert share.try_take_retry("q", 1, 0.0)
--- a/tests/test_server_limit_shares.py
+++ b/tests/test_server_limit_shares.py
@@ -10,7 +10,7 @@
 from work_builders import SERVER, table_of, work
 
 from pomelobarrow.decision.server_choice import choose_server
-from pomelobarrow.decision.server_limits import LEAST_PER_S, ServerLimits, parse_limit
+from pomelobarrow.decision.server_limits import MIN_LIMIT_PER_S, ServerLimits, parse_limit
 from pomelobarrow.peers import peers_pb2 as pb
 from pomelobarrow.peers.grid import LinkKind
 from pomelobarrow.peers.server_news import SentServers, ServerNews
@@ -116,7 +116,7 @@
 def test_server_that_takes_nothing_is_asked_now_and_then() -> None:
     """Nobody sent there any more, and nobody learned that the limit had ended."""
     sent = play(fleet_of(7, 0.0), demand_per_s=100.0, for_s=30.0)
-    assert 2 <= len(sent) <= 30.0 * LEAST_PER_S + 1
+    assert 2 <= len(sent) <= 30.0 * MIN_LIMIT_PER_S + 1
 
 
 def test_server_that_starts_again_has_no_limit() -> None:
--- a/tests/test_work_queue.py
+++ b/tests/test_work_queue.py
@@ -97,8 +97,8 @@
         queue.push(work(f"p{number}"), 0.0)
     for number in range(5):
         pop(queue, 2.0 * number)
-    assert queue.s_per_ahead(Rank.PAYING, 8.0) == pytest.approx(2.0, rel=0.05)
-    assert queue.s_per_ahead(Rank.PAYING, 30.0) == 0.0
+    assert queue.wait_per_request_ahead_s(Rank.PAYING, 8.0) == pytest.approx(2.0, rel=0.05)
+    assert queue.wait_per_request_ahead_s(Rank.PAYING, 30.0) == 0.0
 
 
 class QueueMachine(RuleBasedStateMachine):
