--- a/src/pomelobarrow/decision/crash_suspects.py
+++ b/src/pomelobarrow/decision/crash_suspects.py
@@ -20,7 +20,7 @@
 # A request that ends what runs it is never answered. An answer clears a request of all crashes up
 # to it, and of those of the next seconds: servers that fail together are seen over that time.
 ANSWER_CLEARS_FOR_S = 10.0
-ANSWER_KEPT_S = 600.0
+ANSWER_RETENTION_S = 600.0
 # An innocent request must get out again. After these times, by the number of crashes, one is let
 # through; each crash of a server costs dozens of other requests, so that two trials are enough.
 TRIAL_AFTER_S = {3: 60.0, 4: 600.0}
@@ -31,11 +31,11 @@
 MAX_CRASHES = 8
 # VMs see one end at slightly different times. A platform that doesn't tell when a server started
 # lists it as the same one when it is back, which takes longer than this.
-SAME_END_WITHIN_S = 1.0
+SAME_CRASH_WITHIN_S = 1.0
 # A caller that changes its body each time adds an entry with each server that it ends. The ones
 # with the fewest crashes go first, many at once, since to choose them takes a look at all.
 MAX_SUSPECTS = 4_096
-DROPPED_AT_ONCE = 512
+EVICTION_BATCH = 512
 MAX_ANSWERED = 8_192
 
 
@@ -89,10 +89,10 @@
             newest_unix_s=max(crash.ended_unix_s for crash in self.crashes),
         )
 
-    def knows(self, crash: Crash) -> bool:
+    def includes(self, crash: Crash) -> bool:
         return any(
             known.server_key == crash.server_key
-            and abs(known.ended_unix_s - crash.ended_unix_s) < SAME_END_WITHIN_S
+            and abs(known.ended_unix_s - crash.ended_unix_s) < SAME_CRASH_WITHIN_S
             for known in self.crashes
         )
 
@@ -159,12 +159,12 @@
         is_tried = suspect.last_trial_unix_s > newest_unix_s
         turn = int((now_unix_s - newest_unix_s - after_s) / TRIAL_TURN_S)
         vms = {self.own_vm, *live_vms}
-        if is_tried or turn % len(vms) != self._place(fingerprint, vms):
+        if is_tried or turn % len(vms) != self._turn_offset(fingerprint, vms):
             return False
         suspect.last_trial_unix_s = now_unix_s
         return True
 
-    def _place(self, fingerprint: int, live_vms: Iterable[str]) -> int:
+    def _turn_offset(self, fingerprint: int, live_vms: Iterable[str]) -> int:
         """Return how many VMs have their turn before this one."""
         key = f"trial/{fingerprint}"
         own = (weight(key, self.own_vm), self.own_vm)
@@ -176,9 +176,9 @@
             return (Answered(fingerprint=crash.fingerprint, answered_unix_s=answered_unix_s),)
         suspect = self._suspects.get(crash.fingerprint)
         if suspect is None:
-            self._make_room()
+            self._evict_least_suspect()
             suspect = self._suspects[crash.fingerprint] = _Suspect()
-        if suspect.knows(crash) or len(suspect.crashes) >= MAX_CRASHES:
+        if suspect.includes(crash) or len(suspect.crashes) >= MAX_CRASHES:
             return ()
         suspect.crashes.append(crash)
         return (crash,)
@@ -202,19 +202,19 @@
     def _drop_old_answers(self, now_unix_s: float) -> None:
         while self._answered:
             oldest = next(iter(self._answered))
-            is_old = self._answered[oldest] < now_unix_s - ANSWER_KEPT_S
+            is_old = self._answered[oldest] < now_unix_s - ANSWER_RETENTION_S
             if not is_old and len(self._answered) <= MAX_ANSWERED:
                 return
             del self._answered[oldest]
 
-    def _make_room(self) -> None:
+    def _evict_least_suspect(self) -> None:
         if len(self._suspects) < MAX_SUSPECTS:
             return
-        ranked = sorted(self._suspects, key=self._worth_keeping)
-        for fingerprint in ranked[:DROPPED_AT_ONCE]:
+        ranked = sorted(self._suspects, key=self._eviction_key)
+        for fingerprint in ranked[:EVICTION_BATCH]:
             del self._suspects[fingerprint]
 
-    def _worth_keeping(self, fingerprint: int) -> tuple[int, float]:
+    def _eviction_key(self, fingerprint: int) -> tuple[int, float]:
         evidence = self._suspects[fingerprint].evidence
         return evidence.servers_ended, evidence.newest_unix_s
 
--- a/src/pomelobarrow/decision/decaying_rate.py
+++ b/src/pomelobarrow/decision/decaying_rate.py
@@ -5,11 +5,11 @@
 from attrs import define, field
 
 HALF_LIFE_S = 1.5
-SHARE_EACH_S = math.log(2.0) / HALF_LIFE_S
+DECAY_PER_S = math.log(2.0) / HALF_LIFE_S
 
 
 @define
-class _Sum:
+class _DecayingSum:
     amount: float = 0.0
     unix_s: float = -math.inf
 
@@ -22,18 +22,18 @@
 class DecayingRates:
     """Hold by key how much of something came each second of late."""
 
-    _sums: dict[str, _Sum] = field(factory=dict)
+    _sums: dict[str, _DecayingSum] = field(factory=dict)
 
     def add(self, key: str, amount: float, now_unix_s: float) -> None:
         """Count an amount."""
-        total = self._sums.setdefault(key, _Sum())
+        total = self._sums.setdefault(key, _DecayingSum())
         total.amount = total.at(now_unix_s) + amount
         total.unix_s = now_unix_s
 
     def per_s(self, key: str, now_unix_s: float) -> float:
         """Return the amount a second."""
         total = self._sums.get(key)
-        return total.at(now_unix_s) * SHARE_EACH_S if total else 0.0
+        return total.at(now_unix_s) * DECAY_PER_S if total else 0.0
 
     def forget(self, key: str) -> None:
         """Drop a key."""
--- a/src/pomelobarrow/decision/demand.py
+++ b/src/pomelobarrow/decision/demand.py
@@ -5,8 +5,8 @@
 
 from attrs import define, field
 
-STEADY_HALF_LIFE_S = 4.0
-QUICK_HALF_LIFE_S = 0.7
+SLOW_HALF_LIFE_S = 4.0
+FAST_HALF_LIFE_S = 0.7
 # A quick average off by this many deviations tells of a jump and not of chance.
 JUMP_DEVIATIONS = 3.5
 # More than peers need to be told a rate again, so that what is announced here is always told.
@@ -37,24 +37,26 @@
 class Demand:
     """Average one account's requests a second, refused ones included."""
 
-    _steady: _Average = field(factory=lambda: _Average(STEADY_HALF_LIFE_S))
-    _quick: _Average = field(factory=lambda: _Average(QUICK_HALF_LIFE_S))
+    _slow: _Average = field(factory=lambda: _Average(SLOW_HALF_LIFE_S))
+    _fast: _Average = field(factory=lambda: _Average(FAST_HALF_LIFE_S))
     # When each announced rate came into force.
     _announced: deque[tuple[float, float]] = field(factory=deque)
 
     def count(self, now_unix_s: float) -> None:
         """Count one request."""
-        self._steady.count(now_unix_s)
-        self._quick.count(now_unix_s)
+        self._slow.count(now_unix_s)
+        self._fast.count(now_unix_s)
 
     def rate_per_s(self, now_unix_s: float) -> float:
         """Return the rate of late: steady, but quick to follow callers who come or leave."""
-        steady, quick = self._steady.at(now_unix_s), self._quick.at(now_unix_s)
-        deviation = math.sqrt(max(steady, quick) * math.log(2.0) / (2.0 * QUICK_HALF_LIFE_S))
-        if abs(quick - steady) <= JUMP_DEVIATIONS * deviation:
-            return steady
-        self._steady.set(quick, now_unix_s)
-        return quick
+        slow_per_s, fast_per_s = self._slow.at(now_unix_s), self._fast.at(now_unix_s)
+        deviation = math.sqrt(
+            max(slow_per_s, fast_per_s) * math.log(2.0) / (2.0 * FAST_HALF_LIFE_S)
+        )
+        if abs(fast_per_s - slow_per_s) <= JUMP_DEVIATIONS * deviation:
+            return slow_per_s
+        self._slow.set(fast_per_s, now_unix_s)
+        return fast_per_s
 
     def announce(self, now_unix_s: float) -> float:
         """Return the rate to tell peers; small moves are kept back."""
@@ -65,13 +67,13 @@
         self._announced.append((now_unix_s, rate))
         return rate
 
-    def heard_by_all(self, now_unix_s: float, delivery_s: float) -> float:
+    def lowest_announced_per_s(self, now_unix_s: float, propagation_s: float) -> float:
         """Return the lowest rate that some peer may still hold as this VM's.
 
         A VM that took a larger share as its demand rose would take it before its peers make room:
         together they would pass the limit for as long as the news takes.
         """
-        oldest_unix_s = now_unix_s - delivery_s
+        oldest_unix_s = now_unix_s - propagation_s
         while len(self._announced) > 1 and self._announced[1][0] <= oldest_unix_s:
             self._announced.popleft()
         rates = [rate for _, rate in self._announced]
--- a/src/pomelobarrow/decision/orders.py
+++ b/src/pomelobarrow/decision/orders.py
@@ -11,7 +11,7 @@
 # A fencing number holds the revision above these bits and a count below them.
 COUNT_BITS = 16
 # A former owner's order is out of its hands after this time, so a new owner waits as long.
-ORDER_LIFE_S = 5.0
+ORDER_LIFETIME_S = 5.0
 RETRY_AFTER_S = 10.0
 
 
@@ -25,7 +25,7 @@
 
 # Loading adds a version beside the others. Serving or changing the role replaces what was there:
 # on an engine that ignores fencing numbers, a late order of a frozen VM would undo a newer one.
-HARMLESS = frozenset({OrderKind.LOAD_MODEL})
+SAFE_WITHOUT_FENCING = frozenset({OrderKind.LOAD_MODEL})
 
 
 @frozen(kw_only=True)
@@ -63,7 +63,7 @@
 def orders_for(server: BackendServer, configuration: Configuration) -> tuple[Order, ...]:
     """Return all orders of a configuration that may be sent to this engine."""
     due = [*_model_orders(server, configuration), *_role_orders(server, configuration)]
-    return tuple(each for each in due if server.checks_fencing or each.kind in HARMLESS)
+    return tuple(each for each in due if server.checks_fencing or each.kind in SAFE_WITHOUT_FENCING)
 
 
 def _model_orders(server: BackendServer, configuration: Configuration) -> list[Order]:
@@ -101,7 +101,8 @@
         """Return what to send now; an engine newly owned waits until older orders have expired."""
         servers = {server.name: server for server in owned}
         self._engines = {
-            name: self._engines.get(name) or _Engine(now_unix_s + ORDER_LIFE_S) for name in servers
+            name: self._engines.get(name) or _Engine(now_unix_s + ORDER_LIFETIME_S)
+            for name in servers
         }
         found = (self._due(server, configuration, now_unix_s) for server in servers.values())
         return [each for each in found if each is not None]
@@ -109,7 +110,7 @@
     def observe_pause(self, now_unix_s: float) -> None:
         """Start over after this process stood still: another VM may own the engines by now."""
         for engine in self._engines.values():
-            engine.owned_since_unix_s = now_unix_s + ORDER_LIFE_S
+            engine.owned_since_unix_s = now_unix_s + ORDER_LIFETIME_S
 
     def observe_accepted(self, sent: FencedOrders) -> None:
         """Note that an engine took the orders."""
@@ -141,6 +142,6 @@
             server=server,
             revision=configuration.revision,
             fencing=fencing,
-            expires_unix_s=now_unix_s + ORDER_LIFE_S,
+            expires_unix_s=now_unix_s + ORDER_LIFETIME_S,
             orders=orders,
         )
--- a/src/pomelobarrow/decision/queue_throughput.py
+++ b/src/pomelobarrow/decision/queue_throughput.py
@@ -7,7 +7,7 @@
 DECAY = 0.97
 RATE_HALF_LIFE_S = 5.0
 # A pace learned longer ago says nothing of the servers of today.
-GOOD_FOR_S = 10.0
+MAX_AGE_S = 10.0
 
 
 @define
@@ -47,7 +47,7 @@
 
     def wait_per_request_ahead_s(self, now_unix_s: float) -> float:
         """Return the seconds that each request ahead costs, or zero where that isn't known."""
-        if not self._ahead or now_unix_s - self._updated_unix_s > GOOD_FOR_S:
+        if not self._ahead or now_unix_s - self._updated_unix_s > MAX_AGE_S:
             return 0.0
         return self._waited_s / self._ahead
 
--- a/src/pomelobarrow/decision/request_ids.py
+++ b/src/pomelobarrow/decision/request_ids.py
@@ -47,7 +47,7 @@
     "parse_issuer",
 ]
 
-LIFE_S = 600.0
+ID_LIFETIME_S = 600.0
 MAX_ENTRIES = 65_536
 MAX_KEPT_BYTES = 32 * 1024 * 1024
 MAX_BODY_BYTES = 256 * 1024
@@ -67,7 +67,7 @@
 
 
 @define
-class _Book:
+class _IssuerRecord:
     """Hold one issuing process's secret and how far its expired ids were forgotten."""
 
     secret: bytes
@@ -78,7 +78,7 @@
 
 
 @define
-class _Second:
+class _ExpiryBucket:
     """Hold what expires in one second."""
 
     used: set[str] = field(factory=set)
@@ -94,14 +94,16 @@
     secret: bytes = field(repr=False)
     max_kept_bytes: int = MAX_KEPT_BYTES
     max_entries: int = MAX_ENTRIES
-    life_s: float = LIFE_S
+    lifetime_s: float = ID_LIFETIME_S
     max_body_bytes: int = MAX_BODY_BYTES
     retired: bool = field(default=False, init=False)
     kept_bytes: int = field(default=0, init=False)
     issued_unexpired: int = field(default=0, init=False)
-    _books: dict[tuple[str, int], _Book] = field(factory=dict, init=False, repr=False)
+    _issuer_records: dict[tuple[str, int], _IssuerRecord] = field(
+        factory=dict, init=False, repr=False
+    )
     _entries: dict[str, LedgerEntry] = field(factory=dict, init=False, repr=False)
-    _seconds: dict[float, _Second] = field(factory=dict, init=False, repr=False)
+    _expiry_buckets: dict[float, _ExpiryBucket] = field(factory=dict, init=False, repr=False)
     _expiries: list[float] = field(factory=list, init=False, repr=False)
     _serials: Iterator[int] = field(factory=itertools.count, init=False, repr=False)
     _issued_of_account: Counter[str] = field(factory=Counter, init=False, repr=False)
@@ -109,7 +111,7 @@
     _adopted_entries: int = field(default=0, init=False)
 
     def __attrs_post_init__(self) -> None:
-        self._books[self._own_key] = _Book(self.secret)
+        self._issuer_records[self._own_key] = _IssuerRecord(self.secret)
 
     @property
     def _own_key(self) -> tuple[str, int]:
@@ -118,7 +120,7 @@
     @property
     def issuers(self) -> tuple[tuple[str, int], ...]:
         """Return the (vm, incarnation) pairs whose ids are kept here."""
-        return tuple(self._books)
+        return tuple(self._issuer_records)
 
     @property
     def free_entries(self) -> int:
@@ -139,20 +141,20 @@
             return ()
         # An account holds at most as many ids as stay free, so that one that asks without end
         # leaves room for the others.
-        fair = (self.free_entries - self._issued_of_account[account]) // 2
-        given = max(0, min(count, fair))
-        if not given:
+        fair_share = (self.free_entries - self._issued_of_account[account]) // 2
+        granted = max(0, min(count, fair_share))
+        if not granted:
             return ()
-        expires_unix_s = math.floor(self._latest_unix_s + self.life_s)
-        self._count_issued(account, given, expires_unix_s)
-        return tuple(self._new_id(account, expires_unix_s) for _ in range(given))
+        expires_unix_s = math.floor(self._latest_unix_s + self.lifetime_s)
+        self._count_issued(account, granted, expires_unix_s)
+        return tuple(self._new_id(account, expires_unix_s) for _ in range(granted))
 
     def _new_id(self, account: str, expires_unix_s: float) -> str:
         serial = next(self._serials)
         return format_id(self.secret, self.vm, self.incarnation, expires_unix_s, serial, account)
 
     def _count_issued(self, account: str, count: int, expires_unix_s: float) -> None:
-        self._second(expires_unix_s).issued[account] += count
+        self._expiry_bucket(expires_unix_s).issued[account] += count
         self._issued_of_account[account] += count
         self.issued_unexpired += count
 
@@ -163,19 +165,19 @@
         if isinstance(parsed, Err):
             return Claim(ClaimKind.FORGED)
         issuer = parsed.ok_value
-        book = self._books.get(issuer.key)
-        if book is None:
+        record = self._issuer_records.get(issuer.key)
+        if record is None:
             return Claim(ClaimKind.NOT_MINE)
-        if not is_authentic(request_id, book.secret, account):
+        if not is_authentic(request_id, record.secret, account):
             return Claim(ClaimKind.FORGED)
         entry = self._entries.get(request_id)
         if entry is not None:
             return _claim_of(entry)
         # The latest time seen counts, not the clock's: an id forgotten at its expiry would be
         # fresh again after the clock was set back.
-        if issuer.expires_unix_s <= max(self._latest_unix_s, book.expired_through_unix_s):
+        if issuer.expires_unix_s <= max(self._latest_unix_s, record.expired_through_unix_s):
             return Claim(ClaimKind.EXPIRED)
-        if self.retired or not self._has_room_for(issuer.key):
+        if self.retired or not self._has_capacity_for(issuer.key):
             return Claim(ClaimKind.RETIRED)
         self._add(
             issuer.key,
@@ -185,21 +187,21 @@
         )
         return Claim(ClaimKind.FRESH)
 
-    def _has_room_for(self, key: tuple[str, int]) -> bool:
+    def _has_capacity_for(self, key: tuple[str, int]) -> bool:
         return key == self._own_key or self.free_entries > 0
 
     def finish(self, request_id: str, outcome: Outcome) -> bool:
         """Keep the outcome of a running id, without its body where that doesn't fit."""
         if not self._is_running(request_id):
             return False
-        self._settle(request_id, EntryState.FINISHED, self._fitting(outcome))
+        self._record_outcome(request_id, EntryState.FINISHED, self._within_limits(outcome))
         return True
 
     def lose(self, request_id: str) -> bool:
         """Record that nobody will learn how a running id ended."""
         if not self._is_running(request_id):
             return False
-        self._settle(request_id, EntryState.LOST, OUTCOME_UNKNOWN)
+        self._record_outcome(request_id, EntryState.LOST, OUTCOME_UNKNOWN)
         return True
 
     def retire(self) -> None:
@@ -213,26 +215,27 @@
         successors, or one that restarted in between, would each run an unused id.
         """
         key = issuer or self._own_key
-        book = self._books[key]
-        if book.is_exported:
+        record = self._issuer_records[key]
+        if record.is_exported:
             raise AlreadyExportedError(*key)
-        book.is_exported = True
+        record.is_exported = True
         self.retire()
         return LedgerExport(
-            secret=book.secret,
-            entries=tuple(self._entries[request_id] for request_id in book.ids),
-            expired_through_unix_s=max(book.expired_through_unix_s, self._latest_unix_s),
+            secret=record.secret,
+            entries=tuple(self._entries[request_id] for request_id in record.ids),
+            expired_through_unix_s=max(record.expired_through_unix_s, self._latest_unix_s),
         )
 
     def adopt(self, vm: str, incarnation: int, export: LedgerExport) -> bool:
         """Take over a stopped issuer's ids; False where there is no room, and nothing changed."""
         key = (vm, incarnation)
-        if self.retired or key in self._books or len(export.entries) > self.free_entries:
+        if self.retired or key in self._issuer_records or len(export.entries) > self.free_entries:
             return False
-        self._books[key] = _Book(
+        self._issuer_records[key] = _IssuerRecord(
             export.secret,
             expired_through_unix_s=export.expired_through_unix_s,
-            kept_until_unix_s=max(self._latest_unix_s, export.expired_through_unix_s) + self.life_s,
+            kept_until_unix_s=max(self._latest_unix_s, export.expired_through_unix_s)
+            + self.lifetime_s,
         )
         for entry in export.entries:
             self._add(key, self._as_adopted(entry))
@@ -241,29 +244,29 @@
     def _as_adopted(self, entry: LedgerEntry) -> LedgerEntry:
         if entry.state is EntryState.RUNNING:
             return evolve(entry, state=EntryState.LOST, outcome=OUTCOME_UNKNOWN)
-        return evolve(entry, outcome=self._fitting(entry.outcome or OUTCOME_UNKNOWN))
+        return evolve(entry, outcome=self._within_limits(entry.outcome or OUTCOME_UNKNOWN))
 
     def expire(self, now_unix_s: float) -> int:
         """Forget the ids that have expired, and return how many used ones there were."""
         self._latest_unix_s = max(self._latest_unix_s, now_unix_s)
         forgotten = 0
         while self._expiries and self._expiries[0] <= self._latest_unix_s:
-            second = self._seconds.pop(heapq.heappop(self._expiries))
-            forgotten += len(second.used)
-            for request_id in tuple(second.used):
+            bucket = self._expiry_buckets.pop(heapq.heappop(self._expiries))
+            forgotten += len(bucket.used)
+            for request_id in tuple(bucket.used):
                 self._drop(request_id)
-            self._uncount_issued(second.issued)
-        self._drop_old_books()
+            self._uncount_issued(bucket.issued)
+        self._drop_expired_issuers()
         return forgotten
 
-    def _drop_old_books(self) -> None:
+    def _drop_expired_issuers(self) -> None:
         old = [
             key
-            for key, book in self._books.items()
-            if not book.ids and book.kept_until_unix_s < self._latest_unix_s
+            for key, record in self._issuer_records.items()
+            if not record.ids and record.kept_until_unix_s < self._latest_unix_s
         ]
         for key in old:
-            del self._books[key]
+            del self._issuer_records[key]
 
     def _uncount_issued(self, issued: Counter[str]) -> None:
         self.issued_unexpired -= issued.total()
@@ -276,37 +279,37 @@
         entry = self._entries.get(request_id)
         return entry is not None and entry.state is EntryState.RUNNING
 
-    def _fitting(self, outcome: Outcome) -> Outcome:
-        room_bytes = self.max_kept_bytes - self.kept_bytes
-        if outcome.size_bytes <= min(room_bytes, self.max_body_bytes):
+    def _within_limits(self, outcome: Outcome) -> Outcome:
+        free_bytes = self.max_kept_bytes - self.kept_bytes
+        if outcome.size_bytes <= min(free_bytes, self.max_body_bytes):
             return outcome
         return evolve(outcome, headers=(), body=None)
 
-    def _settle(self, request_id: str, state: EntryState, outcome: Outcome) -> None:
+    def _record_outcome(self, request_id: str, state: EntryState, outcome: Outcome) -> None:
         entry = self._entries[request_id]
         self._entries[request_id] = evolve(entry, state=state, outcome=outcome)
         self.kept_bytes += outcome.size_bytes
 
     def _add(self, key: tuple[str, int], entry: LedgerEntry) -> None:
         self._entries[entry.request_id] = entry
-        self._books[key].ids[entry.request_id] = None
-        self._second(entry.expires_unix_s).used.add(entry.request_id)
+        self._issuer_records[key].ids[entry.request_id] = None
+        self._expiry_bucket(entry.expires_unix_s).used.add(entry.request_id)
         self._adopted_entries += key != self._own_key
         self.kept_bytes += entry.outcome.size_bytes if entry.outcome else 0
 
     def _drop(self, request_id: str) -> None:
         entry = self._entries.pop(request_id)
         key = parse_issuer(request_id).unwrap().key
-        self._books[key].ids.pop(request_id)
+        self._issuer_records[key].ids.pop(request_id)
         self._adopted_entries -= key != self._own_key
         self.kept_bytes -= entry.outcome.size_bytes if entry.outcome else 0
 
-    def _second(self, expires_unix_s: float) -> _Second:
-        second = self._seconds.get(expires_unix_s)
-        if second is None:
-            second = self._seconds[expires_unix_s] = _Second()
+    def _expiry_bucket(self, expires_unix_s: float) -> _ExpiryBucket:
+        bucket = self._expiry_buckets.get(expires_unix_s)
+        if bucket is None:
+            bucket = self._expiry_buckets[expires_unix_s] = _ExpiryBucket()
             heapq.heappush(self._expiries, expires_unix_s)
-        return second
+        return bucket
 
 
 def _claim_of(entry: LedgerEntry) -> Claim:
@@ -315,9 +318,9 @@
     return Claim(ClaimKind.FINISHED, entry.outcome)
 
 
-def entries_needed(ids_per_s: float, life_s: float = LIFE_S) -> int:
+def entries_needed(ids_per_s: float, lifetime_s: float = ID_LIFETIME_S) -> int:
     """Return how many entries a rate of issue fills."""
-    return math.ceil(ids_per_s * life_s)
+    return math.ceil(ids_per_s * lifetime_s)
 
 
 def memory_bound_bytes(max_entries: int = MAX_ENTRIES, max_kept_bytes: int = MAX_KEPT_BYTES) -> int:
--- a/src/pomelobarrow/decision/retry_share.py
+++ b/src/pomelobarrow/decision/retry_share.py
@@ -19,11 +19,11 @@
 
 @define
 class _Counts:
-    firsts: deque[float] = field(factory=deque)
-    repeats: deque[float] = field(factory=deque)
+    first_arrivals: deque[float] = field(factory=deque)
+    retries: deque[float] = field(factory=deque)
 
     def drop_before(self, oldest_unix_s: float) -> None:
-        for times in (self.firsts, self.repeats):
+        for times in (self.first_arrivals, self.retries):
             while times and times[0] < oldest_unix_s:
                 times.popleft()
 
@@ -42,18 +42,18 @@
 
     def record_first_arrival(self, pool: str, now_unix_s: float) -> None:
         """Count a request's first arrival at a server."""
-        self._pools[pool].firsts.append(now_unix_s)
+        self._pools[pool].first_arrivals.append(now_unix_s)
 
-    def _has_room(self, pool: str, live_vms: int, now_unix_s: float) -> bool:
+    def _has_capacity(self, pool: str, live_vms: int, now_unix_s: float) -> bool:
         counts = self._pools[pool]
         counts.drop_before(now_unix_s - self.bound.window_s)
         slack = self.bound.slack / max(1, live_vms)
-        allowed = SAFETY_SHARE * (self.bound.ratio * len(counts.firsts) + slack)
-        return len(counts.repeats) + 1 <= allowed
+        allowed = SAFETY_SHARE * (self.bound.ratio * len(counts.first_arrivals) + slack)
+        return len(counts.retries) + 1 <= allowed
 
     def try_take_retry(self, pool: str, live_vms: int, now_unix_s: float) -> bool:
         """Count one more arrival where the bound leaves room for it."""
-        if not self._has_room(pool, live_vms, now_unix_s):
+        if not self._has_capacity(pool, live_vms, now_unix_s):
             return False
-        self._pools[pool].repeats.append(now_unix_s)
+        self._pools[pool].retries.append(now_unix_s)
         return True
--- a/src/pomelobarrow/decision/server_limits.py
+++ b/src/pomelobarrow/decision/server_limits.py
@@ -12,7 +12,7 @@
 # VMs whose views of the region differ for a moment may name more senders than there should be.
 USED_SHARE = 0.9
 # Fewer VMs send at a low rate, so that each has a part that a caller can wait for.
-LEAST_PART_PER_S = 1.0
+MIN_SHARE_PER_S = 1.0
 BURST_S = 0.5
 # A server that takes nothing gets a request now and then: nothing but an answer tells that its
 # limit has ended.
@@ -34,7 +34,7 @@
 
 
 def _senders(rate_per_s: float) -> int:
-    return max(1, int(rate_per_s / LEAST_PART_PER_S))
+    return max(1, int(rate_per_s / MIN_SHARE_PER_S))
 
 
 @define(kw_only=True)
@@ -63,20 +63,20 @@
 
     def observe(self, incarnation: str, per_s: float | None, named_unix_s: float) -> bool:
         """Take in what a server said, to this VM or a peer; say whether that changes its limit."""
-        held = self._named.get(incarnation)
-        if held is None and per_s is None:
+        known = self._named.get(incarnation)
+        if known is None and per_s is None:
             return False
-        if held is not None and named_unix_s <= held.named_unix_s:
+        if known is not None and named_unix_s <= known.named_unix_s:
             return False
         self._named[incarnation] = NamedLimit(per_s=per_s, named_unix_s=named_unix_s)
-        return held is None or held.per_s != per_s
+        return known is None or known.per_s != per_s
 
     def limit_per_s(self, server: BackendServer) -> float:
         """Return what a server takes from all VMs together, infinity without a limit."""
-        held = self._named.get(server.incarnation)
-        if held is None or held.per_s is None:
+        known = self._named.get(server.incarnation)
+        if known is None or known.per_s is None:
             return math.inf
-        return max(MIN_LIMIT_PER_S, held.per_s)
+        return max(MIN_LIMIT_PER_S, known.per_s)
 
     def next_unix_s(self, server: BackendServer, now_unix_s: float) -> float:
         """Return when this VM may send to a server next, infinity where others send there."""
--- a/src/pomelobarrow/decision/shared_rate.py
+++ b/src/pomelobarrow/decision/shared_rate.py
@@ -12,16 +12,16 @@
 from pomelobarrow.decision.rendezvous import rendezvous
 
 # Who lives changes seldom, and to rank the VMs of a large region takes long.
-SENDERS_GOOD_FOR_S = 0.5
+SENDERS_TTL_S = 0.5
 
 
 @define
-class _Part:
+class _Share:
     """Hold this VM's part of one rate; 0 where it isn't among the senders."""
 
     per_s: float = 0.0
     next_unix_s: float = float("-inf")
-    shared_out_of_per_s: float = 0.0
+    total_per_s: float = 0.0
     good_until_unix_s: float = float("-inf")
 
 
@@ -37,41 +37,41 @@
     used_share: float
     # What wasn't sent in this time may be made up for at once.
     burst_s: float = 0.0
-    _parts: dict[str, _Part] = field(factory=dict)
+    _shares: dict[str, _Share] = field(factory=dict)
 
     def next_unix_s(
         self, key: str, rate_per_s: float, vms: Callable[[], Iterable[str]], now_unix_s: float
     ) -> float:
         """Return when this VM may send next, infinity where it is no sender."""
-        part = self._part(key, rate_per_s, vms, now_unix_s)
-        return part.next_unix_s if part.per_s > 0.0 else math.inf
+        share = self._share(key, rate_per_s, vms, now_unix_s)
+        return share.next_unix_s if share.per_s > 0.0 else math.inf
 
     def take(self, key: str, now_unix_s: float) -> None:
         """Count a request that is sent."""
-        part = self._parts.get(key)
-        if part is not None and part.per_s > 0.0:
-            earliest_unix_s = max(part.next_unix_s, now_unix_s - self.burst_s)
-            part.next_unix_s = earliest_unix_s + 1.0 / part.per_s
+        share = self._shares.get(key)
+        if share is not None and share.per_s > 0.0:
+            earliest_unix_s = max(share.next_unix_s, now_unix_s - self.burst_s)
+            share.next_unix_s = earliest_unix_s + 1.0 / share.per_s
 
     def forget(self, key: str) -> None:
         """Drop a rate that is no more."""
-        self._parts.pop(key, None)
+        self._shares.pop(key, None)
 
-    def _part(
+    def _share(
         self, key: str, rate_per_s: float, vms: Callable[[], Iterable[str]], now_unix_s: float
-    ) -> _Part:
-        part = self._parts.get(key)
-        if part is None:
-            part = self._parts[key] = _Part(next_unix_s=now_unix_s)
-        is_good = 0.0 <= part.good_until_unix_s - now_unix_s <= SENDERS_GOOD_FOR_S
-        if not is_good or part.shared_out_of_per_s != rate_per_s:
-            part.per_s = self._own_per_s(key, rate_per_s, vms())
-            part.shared_out_of_per_s = rate_per_s
-            part.good_until_unix_s = now_unix_s + SENDERS_GOOD_FOR_S
-            if part.per_s > 0.0:
+    ) -> _Share:
+        share = self._shares.get(key)
+        if share is None:
+            share = self._shares[key] = _Share(next_unix_s=now_unix_s)
+        is_good = 0.0 <= share.good_until_unix_s - now_unix_s <= SENDERS_TTL_S
+        if not is_good or share.total_per_s != rate_per_s:
+            share.per_s = self._own_per_s(key, rate_per_s, vms())
+            share.total_per_s = rate_per_s
+            share.good_until_unix_s = now_unix_s + SENDERS_TTL_S
+            if share.per_s > 0.0:
                 # At a rate that rose, the wait for the old one is over sooner.
-                part.next_unix_s = min(part.next_unix_s, now_unix_s + 1.0 / part.per_s)
-        return part
+                share.next_unix_s = min(share.next_unix_s, now_unix_s + 1.0 / share.per_s)
+        return share
 
     def _own_per_s(self, key: str, rate_per_s: float, vms: Iterable[str]) -> float:
         names = {self.own_vm, *vms}
--- a/src/pomelobarrow/decision/stream_admission.py
+++ b/src/pomelobarrow/decision/stream_admission.py
@@ -17,7 +17,7 @@
 # Short prompts are taken up to it. Refused past 1.25 times their target, 700 of 6,900 came back
 # late that mostly would have been on time, as the estimate of a full region is pessimistic: 5,569
 # were served in time, 6,033 without that bound.
-PATIENCE_SHARE = 0.75
+MAX_WAIT_SHARE = 0.75
 # A caller heeds a time to come back up to a third of what it has left.
 RETRY_AFTER_SHARE = 0.3
 # Where the wait is cut to that share, all would come back together; they are spread over this part.
@@ -39,15 +39,15 @@
     is_resubmission: bool
 
 
-def is_worth_taking(promise: StreamExpectations, expected_s: float, now_unix_s: float) -> bool:
+def is_worth_taking(expectations: StreamExpectations, expected_s: float, now_unix_s: float) -> bool:
     """Say whether a stream whose first answer is expected so late is better taken than refused."""
-    if promise.is_long and not promise.is_resubmission:
-        return expected_s <= promise.first_answer_due_unix_s - now_unix_s
-    return expected_s <= PATIENCE_SHARE * promise.silence_patience_s
+    if expectations.is_long and not expectations.is_resubmission:
+        return expected_s <= expectations.first_answer_due_unix_s - now_unix_s
+    return expected_s <= MAX_WAIT_SHARE * expectations.silence_patience_s
 
 
 def retry_at_unix_s(
-    line: RetrySchedule,
+    schedule: RetrySchedule,
     expected_wait_s: float,
     taken_per_s: float,
     deadline_unix_s: float,
@@ -57,7 +57,7 @@
     """Return when a refused caller comes back: in turn, and while it still heeds it."""
     latest_s = RETRY_AFTER_SHARE * max(0.0, deadline_unix_s - now_unix_s)
     expected_wait_s = min(expected_wait_s, latest_s)
-    pause_s = line.book(expected_wait_s, taken_per_s, now_unix_s, random) - now_unix_s
-    if pause_s > latest_s:
-        pause_s = latest_s * random.uniform(1.0 - SPREAD_SHARE, 1.0)
-    return now_unix_s + max(MIN_RETRY_AFTER_S, pause_s)
+    retry_delay_s = schedule.reserve(expected_wait_s, taken_per_s, now_unix_s, random) - now_unix_s
+    if retry_delay_s > latest_s:
+        retry_delay_s = latest_s * random.uniform(1.0 - SPREAD_SHARE, 1.0)
+    return now_unix_s + max(MIN_RETRY_AFTER_S, retry_delay_s)
--- a/src/pomelobarrow/decision/work_queue.py
+++ b/src/pomelobarrow/decision/work_queue.py
@@ -13,13 +13,13 @@
 
 MAX_WAITING = {Rank.PAYING: 2_000, Rank.TRIAL: 500}
 # A peer that isn't heard any more must not hold trial work back for good.
-PEER_WAITING_GOOD_FOR_S = 2.0
+PEER_WAITING_TTL_S = 2.0
 # Work that finds no room is skipped, as the next may be free to use other servers. Few are asked:
 # a full pool would else be looked through once for each waiting request at every free slot.
 MAX_SKIPPED = 4
 
 # The part of the time to the first-token target that work may spend in the queue.
-QUEUE_PART_OF_TARGET = 0.5
+QUEUE_SHARE_OF_TARGET = 0.5
 
 # Says at a time when work is due.
 DueFunction = Callable[[Work, float], float]
@@ -36,7 +36,7 @@
 class _PeerWaiting:
     paying: int
     trial: int
-    heard_unix_s: float
+    last_seen_unix_s: float
 
 
 class WorkQueue:
@@ -54,8 +54,8 @@
         self._ordered: dict[Rank, list[_Entry]] = {rank: [] for rank in Rank}
         self._by_id: dict[str, _Entry] = {}
         self._peers: dict[str, _PeerWaiting] = {}
-        self._pace = {rank: QueueThroughput() for rank in Rank}
-        self._retry_lines = {rank: RetrySchedule() for rank in Rank}
+        self._throughput = {rank: QueueThroughput() for rank in Rank}
+        self._retry_schedules = {rank: RetrySchedule() for rank in Rank}
 
     def is_full(self, rank: Rank) -> bool:
         """Say whether a rank's bound is reached."""
@@ -65,7 +65,9 @@
         """Add work; the same request twice counts once."""
         if work.request_id in self._by_id:
             return
-        self._pace[work.rank].pushed(work.request_id, self.ahead(work, now_unix_s), now_unix_s)
+        self._throughput[work.rank].pushed(
+            work.request_id, self.ahead(work, now_unix_s), now_unix_s
+        )
         self._sequence += 1
         self._insert(_Entry(self._due(work, now_unix_s), self._sequence, work))
 
@@ -79,13 +81,13 @@
 
     def take(self, work: Work, now_unix_s: float) -> None:
         """Take out work that found a server."""
-        self._pace[work.rank].taken(work.request_id, now_unix_s)
+        self._throughput[work.rank].taken(work.request_id, now_unix_s)
         self.remove(work.request_id)
 
     def first(self, count: int, now_unix_s: float) -> list[Work]:
         """Return the work that is next: paying, or trial while no paying work waits."""
-        self._put_late_ones_back(now_unix_s)
-        rank = Rank.PAYING if self.paying_waits(now_unix_s) else Rank.TRIAL
+        self._reorder_late_entries(now_unix_s)
+        rank = Rank.PAYING if self.has_waiting_paying(now_unix_s) else Rank.TRIAL
         return [entry.work for entry in self._ordered[rank][:count]]
 
     def remove(self, request_id: str) -> bool:
@@ -93,7 +95,7 @@
         entry = self._by_id.pop(request_id, None)
         if entry is None:
             return False
-        self._pace[entry.work.rank].left(request_id)
+        self._throughput[entry.work.rank].left(request_id)
         ordered = self._ordered[entry.work.rank]
         del ordered[bisect_left(ordered, entry)]
         return True
@@ -121,17 +123,17 @@
 
     def observe_peer_waiting(self, vm: str, paying: int, now_unix_s: float, trial: int = 0) -> None:
         """Take in how much work waits at a peer of this region."""
-        self._peers[vm] = _PeerWaiting(paying=paying, trial=trial, heard_unix_s=now_unix_s)
+        self._peers[vm] = _PeerWaiting(paying=paying, trial=trial, last_seen_unix_s=now_unix_s)
 
     def forget_peer(self, vm: str) -> None:
         """Drop a peer that left."""
         self._peers.pop(vm, None)
 
-    def paying_waits(self, now_unix_s: float) -> bool:
+    def has_waiting_paying(self, now_unix_s: float) -> bool:
         """Say whether paying work waits here or at a peer."""
         if self._ordered[Rank.PAYING]:
             return True
-        return any(peer.paying for peer in self._heard_peers(now_unix_s))
+        return any(peer.paying for peer in self._recent_peers(now_unix_s))
 
     def ahead(self, work: Work, now_unix_s: float) -> int:
         """Count what would go before new work, here and at peers."""
@@ -143,14 +145,14 @@
 
     def wait_per_request_ahead_s(self, rank: Rank, now_unix_s: float) -> float:
         """Return the seconds that each request ahead has cost of late, zero where unknown."""
-        return self._pace[rank].wait_per_request_ahead_s(now_unix_s)
+        return self._throughput[rank].wait_per_request_ahead_s(now_unix_s)
 
     def retry_at_unix_s(
         self, rank: Rank, expected_wait_s: float, now_unix_s: float, random: Random
     ) -> float:
         """Return when a caller whose work is refused should come back."""
-        taken_per_s = self._pace[rank].taken_per_s(now_unix_s)
-        return self._retry_lines[rank].book(expected_wait_s, taken_per_s, now_unix_s, random)
+        taken_per_s = self._throughput[rank].taken_per_s(now_unix_s)
+        return self._retry_schedules[rank].reserve(expected_wait_s, taken_per_s, now_unix_s, random)
 
     def _ahead_here(self, work: Work, now_unix_s: float) -> int:
         entry = _Entry(self._due(work, now_unix_s), self._sequence + 1, work)
@@ -161,18 +163,18 @@
         counts_trial = rank is Rank.TRIAL
         return sum(
             peer.paying + (peer.trial if counts_trial else 0)
-            for peer in self._heard_peers(now_unix_s)
+            for peer in self._recent_peers(now_unix_s)
         )
 
-    def _heard_peers(self, now_unix_s: float) -> Iterator[_PeerWaiting]:
-        oldest_unix_s = now_unix_s - PEER_WAITING_GOOD_FOR_S
-        return (peer for peer in self._peers.values() if peer.heard_unix_s >= oldest_unix_s)
+    def _recent_peers(self, now_unix_s: float) -> Iterator[_PeerWaiting]:
+        oldest_unix_s = now_unix_s - PEER_WAITING_TTL_S
+        return (peer for peer in self._peers.values() if peer.last_seen_unix_s >= oldest_unix_s)
 
     def _insert(self, entry: _Entry) -> None:
         self._by_id[entry.work.request_id] = entry
         insort(self._ordered[entry.work.rank], entry)
 
-    def _put_late_ones_back(self, now_unix_s: float) -> None:
+    def _reorder_late_entries(self, now_unix_s: float) -> None:
         """Order the entries whose target has passed by their deadline."""
         for ordered in self._ordered.values():
             while ordered and ordered[0].due_unix_s < now_unix_s:
@@ -191,5 +193,5 @@
     work due at the target itself, in an overload each would get its server just too late.
     """
     target_s = work.first_token_due_unix_s - work.accepted_unix_s
-    due = work.accepted_unix_s + QUEUE_PART_OF_TARGET * target_s
+    due = work.accepted_unix_s + QUEUE_SHARE_OF_TARGET * target_s
     return work.deadline_unix_s if due < now_unix_s else min(due, work.deadline_unix_s)
--- a/tests/test_crash_suspects.py
+++ b/tests/test_crash_suspects.py
@@ -43,8 +43,8 @@
 
 def test_server_that_several_vms_saw_end_counts_once() -> None:
     suspects = CrashSuspects()
-    told = [suspects.note(crash(7, at)) for at in (100.0, 100.1, 100.2)]
-    assert [len(each) for each in told] == [1, 0, 0]
+    forwarded = [suspects.note(crash(7, at)) for at in (100.0, 100.1, 100.2)]
+    assert [len(each) for each in forwarded] == [1, 0, 0]
     assert suspects.suspicion(1, 101.0) is Suspicion.NONE
 
 
@@ -71,9 +71,9 @@
     """Three servers of a rack ended at once, each with the same status check on it."""
     suspects = CrashSuspects()
     suspects.answered(1, 95.0)
-    told = [suspects.note(crash(key, 100.0)) for key in range(3)]
+    forwarded = [suspects.note(crash(key, 100.0)) for key in range(3)]
     assert suspects.suspicion(1, 100.0) is Suspicion.NONE
-    assert all(isinstance(each, Answered) for findings in told for each in findings)
+    assert all(isinstance(each, Answered) for findings in forwarded for each in findings)
 
 
 def test_answer_that_a_peer_tells_of_clears_a_blocked_request() -> None:
@@ -187,12 +187,12 @@
     waiting = [(0, each) for each in findings]
     handled = 0
     while waiting:
-        place, finding = waiting.pop()
+        index, finding = waiting.pop()
         handled += 1
         assert handled < 2_000
-        for news in views[place].note(finding):  # type: ignore[arg-type]
+        for news in views[index].note(finding):  # type: ignore[arg-type]
             later = _shifted(news, 0.003)
-            waiting += [(other, later) for other in range(3) if other != place]
+            waiting += [(other, later) for other in range(3) if other != index]
 
 
 def _shifted(finding: object, by_s: float) -> object:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -125,15 +125,15 @@
     demand = Demand()
     for step in range(100):
         demand.count(step * 0.1)
-    told_per_s = demand.announce(10.0)
-    assert demand.heard_by_all(10.5, delivery_s=1.5) == 0.0
-    assert demand.heard_by_all(11.6, delivery_s=1.5) == told_per_s
+    announced_per_s = demand.announce(10.0)
+    assert demand.lowest_announced_per_s(10.5, propagation_s=1.5) == 0.0
+    assert demand.lowest_announced_per_s(11.6, propagation_s=1.5) == announced_per_s
 
 
 def test_a_small_move_is_not_announced() -> None:
     demand = Demand()
     for step in range(300):
         demand.count(step * 0.1)
-    told_per_s = demand.announce(30.0)
+    announced_per_s = demand.announce(30.0)
     demand.count(30.05)
-    assert demand.announce(30.1) == told_per_s
+    assert demand.announce(30.1) == announced_per_s
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -7,7 +7,7 @@
 from pomelobarrow.decision.configuration_check import check_configuration
 from pomelobarrow.decision.orders import (
     COUNT_BITS,
-    ORDER_LIFE_S,
+    ORDER_LIFETIME_S,
     OrderBook,
     OrderKind,
     next_fencing,
@@ -69,7 +69,7 @@
 def test_new_owner_waits_until_older_orders_have_expired():
     book, published = OrderBook(), configuration("v1", 2)
     assert book.due([CHECKING], published, 100.0) == []
-    assert book.due([CHECKING], published, 100.0 + ORDER_LIFE_S)
+    assert book.due([CHECKING], published, 100.0 + ORDER_LIFETIME_S)
 
 
 @pytest.mark.parametrize("server", [CHECKING, IGNORING], ids=["checks", "ignores"])
@@ -83,15 +83,15 @@
     engine = EngineOrders(checks_fencing=server.checks_fencing)
     first, second = OrderBook(), OrderBook()
     first.due([server], configuration("v1", 2), 0.0)
-    (late,) = first.due([server], configuration("v1", 2), ORDER_LIFE_S)
-    second.due([server], configuration("v2", 3), ORDER_LIFE_S)
-    (current,) = second.due([server], configuration("v2", 3), 2 * ORDER_LIFE_S)
+    (late,) = first.due([server], configuration("v1", 2), ORDER_LIFETIME_S)
+    second.due([server], configuration("v2", 3), ORDER_LIFETIME_S)
+    (current,) = second.due([server], configuration("v2", 3), 2 * ORDER_LIFETIME_S)
     assert deliver(current, engine)
     deliver(late, engine)
     assert served(engine) in (["v2"], [])
     first.observe_highest_fencing(server.name, engine.fencing)
-    first.observe_pause(3 * ORDER_LIFE_S)
-    assert first.due([server], configuration("v1", 2), 3 * ORDER_LIFE_S) == []
+    first.observe_pause(3 * ORDER_LIFETIME_S)
+    assert first.due([server], configuration("v1", 2), 3 * ORDER_LIFETIME_S) == []
     assert not server.checks_fencing or not first.due(
-        [server], configuration("v1", 2), 9 * ORDER_LIFE_S
+        [server], configuration("v1", 2), 9 * ORDER_LIFETIME_S
     )
--- a/tests/test_request_ids.py
+++ b/tests/test_request_ids.py
@@ -22,7 +22,7 @@
 ENDS = ("finish", "lose", "none")
 MAX_ENTRIES = 8
 MAX_KEPT_BYTES = 50
-LIFE_S = 100.0
+ID_LIFETIME_S = 100.0
 
 
 class IdsRunAtMostOnce(RuleBasedStateMachine):
@@ -47,7 +47,7 @@
     def new_ledger(self, vm):
         number = next(self.incarnations)
         secret = f"secret {number}".encode()
-        return RequestIdLedger(vm, number, secret, MAX_KEPT_BYTES, MAX_ENTRIES, LIFE_S)
+        return RequestIdLedger(vm, number, secret, MAX_KEPT_BYTES, MAX_ENTRIES, ID_LIFETIME_S)
 
     def now(self, vm):
         return self.now_unix_s + self.skew_s[vm]
@@ -192,4 +192,4 @@
 
 
 def test_memory_bound_follows_from_rate_life_and_size():
-    assert memory_bound_bytes(entries_needed(10.0, life_s=600.0), 0) == 6_000 * 768
+    assert memory_bound_bytes(entries_needed(10.0, lifetime_s=600.0), 0) == 6_000 * 768
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -17,7 +17,7 @@
 )
 from pomelobarrow.decision.retry_schedule import (
     MAX_RETRY_AFTER_S,
-    PART_FOR_RETURNING,
+    RETRY_CAPACITY_SHARE,
     RetrySchedule,
 )
 
@@ -72,15 +72,15 @@
 def test_refused_callers_come_back_no_faster_than_the_queue_takes_them() -> None:
     # An overload refuses 400 callers in a second. Told the same wait they would all come back
     # together and be refused again.
-    line, random = RetrySchedule(), Random(1)
-    times = sorted(line.book(2.0, 50.0, number / 400.0, random) for number in range(400))
+    schedule, random = RetrySchedule(), Random(1)
+    times = sorted(schedule.reserve(2.0, 50.0, number / 400.0, random) for number in range(400))
     per_s = len(times) / (times[-1] - times[0])
-    assert per_s <= 1.3 * PART_FOR_RETURNING * 50.0
+    assert per_s <= 1.3 * RETRY_CAPACITY_SHARE * 50.0
     assert times[0] >= 1.5
 
 
 def test_the_line_is_bounded_and_still_spread() -> None:
-    line, random = RetrySchedule(), Random(1)
-    times = [line.book(2.0, 1.0, 0.0, random) for _ in range(1_000)]
+    schedule, random = RetrySchedule(), Random(1)
+    times = [schedule.reserve(2.0, 1.0, 0.0, random) for _ in range(1_000)]
     assert max(times) <= MAX_RETRY_AFTER_S
     assert len(set(times[-100:])) > 90
--- a/tests/test_retry_share.py
+++ b/tests/test_retry_share.py
@@ -16,8 +16,8 @@
     """Every server answer is a failure, and every VM wants to send each request again."""
     shares = [RetryShare(bound=BOUND) for _ in range(vms)]
     taken: list[float] = []
-    for place, now_unix_s in enumerate(sorted(times_s)):
-        share = shares[place % vms]
+    for index, now_unix_s in enumerate(sorted(times_s)):
+        share = shares[index % vms]
         share.record_first_arrival("p", now_unix_s)
         for _ in range(5):
             if share.try_take_retry("p", vms, now_unix_s):
--- a/tests/test_server_limit_shares.py
+++ b/tests/test_server_limit_shares.py
@@ -33,8 +33,8 @@
     """Return the views of VMs that have heard of a limit; each may see only some of the others."""
     names = [f"vm-{number:03}" for number in range(count)]
     views = []
-    for place, name in enumerate(names):
-        others = names if seen is None else (names + names)[place : place + seen]
+    for index, name in enumerate(names):
+        others = names if seen is None else (names + names)[index : index + seen]
         view = ServerLimits(own_vm=name, region_vms=lambda others=others: others)  # type: ignore[misc]
         view.observe(SERVER.incarnation, limit_per_s, 0.0)
         views.append(view)
@@ -151,16 +151,16 @@
 
 def test_neighbour_hears_of_a_limit_and_of_its_end_with_a_heartbeat() -> None:
     """A VM that had no answer of the server itself went on sending."""
-    telling, hearing = table_of(1), table_of(1)
-    news = [_news_of(table) for table in (telling, hearing)]
+    sender, receiver = table_of(1), table_of(1)
+    news = [_news_of(table) for table in (sender, receiver)]
     sent = SentServers()
     for at, per_s in ((1.0, 2.0), (2.0, None)):
-        telling.limits.observe(SERVER.incarnation, per_s, at)
+        sender.limits.observe(SERVER.incarnation, per_s, at)
         heartbeat = pb.Heartbeat(vm="vm-0")
         news[0].write(heartbeat, sent, LinkKind.COLUMN, at + 0.5)
         news[1].take(heartbeat, LinkKind.COLUMN, at + 0.5, at + 0.5)
         expected = math.inf if per_s is None else per_s
-        assert hearing.limits.limit_per_s(SERVER) == pytest.approx(expected)
+        assert receiver.limits.limit_per_s(SERVER) == pytest.approx(expected)
     heartbeat = pb.Heartbeat(vm="vm-0")
     news[0].write(heartbeat, sent, LinkKind.COLUMN, 3.5)
     assert list(heartbeat.limits) == []
