--- a/src/pomelobarrow/decision/admission.py
+++ b/src/pomelobarrow/decision/admission.py
@@ -1,4 +1,4 @@
-"""Admit a request into the queue, or refuse it at once with the remedy."""
+"""Admit a request to the queue, or refuse it immediately with a remedy."""
 
 from collections.abc import Callable
 from random import Random
@@ -23,9 +23,9 @@
     now_unix_s: float,
     random: Random,
 ) -> Result[Work, Refusal]:
-    """Return the work, counted against its account, or the refusal.
+    """Count the work against its account and return it, or return the refusal.
 
-    The caller of an admitted request calls `limits.release` once when it ends.
+    Whoever admits a request must call `limits.release` exactly once when it ends.
     """
     refusal = refuse_unservable(
         work,
@@ -43,7 +43,7 @@
 def admit_account(
     work: Work, account: Account, limits: AccountLimits, now_unix_s: float
 ) -> Result[Work, Refusal]:
-    """Count the work against its account, or refuse it."""
+    """Count the work against its account, or refuse it if the account is over its limits."""
     return limits.admit(account, now_unix_s).map(lambda _: work).map_err(_over_limit(account))
 
 
@@ -56,7 +56,7 @@
     now_unix_s: float,
     random: Random,
 ) -> Refusal | None:
-    """Refuse work that can no longer finish here or finds the queue full."""
+    """Return a refusal if the work cannot meet its deadline here or the queue is full."""
 
     def retry_at_unix_s() -> float:
         return queue.retry_at_unix_s(work.rank, expected_wait_s, now_unix_s, random)
@@ -76,7 +76,7 @@
         return Refusal(
             kind=ErrorKind.DEADLINE_PASSED,
             run=RunStatus.NO,
-            detail="the deadline had passed before the request could start",
+            detail="the deadline passed before the request could start",
             remedy="send a later Pomelobarrow-Deadline",
         )
     if now_unix_s + wait_s + service_s <= work.deadline_unix_s:
@@ -85,7 +85,7 @@
         kind=ErrorKind.OVERLOADED,
         run=RunStatus.NO,
         detail=f"the answer is expected in {wait_s + service_s:.1f} s, after the deadline",
-        remedy="come back at Retry-After, or send a later Pomelobarrow-Deadline",
+        remedy="retry at the time in Retry-After, or send a later Pomelobarrow-Deadline",
         retry_at_unix_s=retry_at_unix_s(),
     )
 
@@ -98,8 +98,8 @@
     return Refusal(
         kind=ErrorKind.OVERLOADED,
         run=RunStatus.NO,
-        detail=f"the queue of {work.rank.value} work for {work.pool} is full",
-        remedy="come back at Retry-After",
+        detail=f"the queue for {work.rank.value} work of pool {work.pool} is full",
+        remedy="retry at the time in Retry-After",
         retry_at_unix_s=retry_at_unix_s(),
     )
 
@@ -109,8 +109,8 @@
         return Refusal(
             kind=ErrorKind.ACCOUNT_LIMIT,
             run=RunStatus.NO,
-            detail=f"account {account.name} is over its published limits",
-            remedy="come back at Retry-After, or ask the operator for a higher limit",
+            detail=f"account {account.name} exceeds its configured limits",
+            remedy="retry at the time in Retry-After, or ask the operator for a higher limit",
             retry_at_unix_s=retry_at_unix_s,
         )
 
--- a/src/pomelobarrow/decision/cold_start.py
+++ b/src/pomelobarrow/decision/cold_start.py
@@ -1,4 +1,4 @@
-"""Limit what a backend server gets while it is cold."""
+"""Limit the rate of requests to a cold backend server."""
 
 from collections.abc import Iterable
 
@@ -7,16 +7,17 @@
 from pomelobarrow.decision.shared_rate import SharedRates
 from pomelobarrow.decision.work import BackendServer
 
-# Few VMs send to a cold server, each at its part of the rate. Were every VM of a large region to
-# send its first request at once, the server would get them all in one second and crash.
+# Only this many VMs send to a cold server, each at its share of the rate. If every VM of a large
+# region sent its first request immediately, the server would get them all in one second and crash.
 MAX_SENDERS = 3
-# VMs whose views of the region differ may name more senders; this much of the rate is left free.
+# VMs whose views of the region differ may select more senders, so only this fraction of the rate is
+# used.
 RATE_SHARE = 0.8
 
 
 @define(kw_only=True)
 class ColdLimiter:
-    """Hold this VM's allowance for each cold server."""
+    """This VM's share of the request rate of each cold server."""
 
     own_vm: str
     _rates: SharedRates = field(init=False)
@@ -36,12 +37,12 @@
         region_vms: Iterable[str],
         now_unix_s: float,
     ) -> bool:
-        """Say whether this VM may send one more request to a cold server now."""
+        """Return whether this VM may send a request to a cold server now."""
         key = server.incarnation
         return (
             self._rates.next_unix_s(key, rate_per_s, lambda: region_vms, now_unix_s) <= now_unix_s
         )
 
     def take(self, server: BackendServer, now_unix_s: float) -> None:
-        """Spend the allowance on a placement; a warm server has none."""
+        """Count a placement against the share of a cold server; a warm server has none."""
         self._rates.take(server.incarnation, now_unix_s)
--- a/src/pomelobarrow/decision/crash_suspects.py
+++ b/src/pomelobarrow/decision/crash_suspects.py
@@ -1,8 +1,8 @@
-"""Decide from crashes seen by all VMs which requests run no more.
+"""Decide from the crashes observed by all VMs which requests to block.
 
-Load pattern: one request comes again under new ids, at any VM, and ends each server that begins to
-run it; each end takes along the streams of all others there. What else was on a server that ended
-is innocent, and so are requests that are the same byte for byte and that some server has answered.
+Load pattern: one request is sent repeatedly under new ids, at any VM, and crashes every server that
+starts to run it. Each crash also ends all other streams on that server. The other requests on a
+crashed server are not at fault, nor is a request if a server has answered a byte-identical one.
 """
 
 import enum
@@ -13,54 +13,54 @@
 
 from pomelobarrow.decision.rendezvous import weight
 
-# One server that ends may do so for any reason. From the second one on, the request isn't sent
-# again by this system; after the third it runs no more.
+# A single crash may have any cause. From the second crash on, a failed request is not retried on
+# another server; after the third, the request is blocked.
 CRASHES_TO_SUSPECT = 2
 CRASHES_TO_BLOCK = 3
-# A request that ends what runs it is never answered. An answer clears a request of all crashes up
-# to it, and of those of the next seconds: servers that fail together are seen over that time.
+# A request that crashes servers is never answered. An answer clears a request of all crashes before
+# it and for this long after it: servers that fail together are detected over that time.
 ANSWER_CLEARS_FOR_S = 10.0
 ANSWER_RETENTION_S = 600.0
-# An innocent request must get out again. After these times, by the number of crashes, one is let
-# through; each crash of a server costs dozens of other requests, so that two trials are enough.
+# A request that was blocked wrongly must be unblocked. After these times, by number of crashes, it
+# is admitted once as a trial. Each crash costs dozens of other requests, so two trials are enough.
 TRIAL_AFTER_S = {3: 60.0, 4: 600.0}
-# In its turn a VM lets one through; an answer or a crash is known to all before the next turn.
+# Each VM may run one trial in its turn; all VMs have received the result before the next turn.
 TRIAL_TURN_S = 5.0
 CRASH_RETENTION_S = 3_600.0
-# More crashes change nothing.
+# The decision does not depend on further crashes.
 MAX_CRASHES = 8
-# VMs see one end at slightly different times. A platform that doesn't tell when a server started
-# lists it as the same one when it is back, which takes longer than this.
+# VMs detect the same crash at slightly different times. On platforms that report no start time a
+# restarted server has the same key, but a restart takes longer than this.
 SAME_CRASH_WITHIN_S = 1.0
-# A caller that changes its body each time adds an entry with each server that it ends. The ones
-# with the fewest crashes go first, many at once, since to choose them takes a look at all.
+# A caller that changes its request body each time adds an entry with each server that it crashes.
+# Entries with the fewest crashes are evicted first, in batches, since selection sorts all entries.
 MAX_SUSPECTS = 4_096
 EVICTION_BATCH = 512
 MAX_ANSWERED = 8_192
 
 
 class Suspicion(enum.Enum):
-    """Say what a request may still do."""
+    """How far a request is restricted."""
 
     NONE = "none"
-    # It may be sent to one server, and not again if that one ends.
+    # The request may be sent to one server, but is not retried if that server crashes.
     SUSPECTED = "suspected"
     BLOCKED = "blocked"
 
 
 @frozen(kw_only=True)
 class Crash:
-    """Tell that a server ended while a request was on it; both known by hashes."""
+    """A server that ended while running a request; both are identified by hashes."""
 
     fingerprint: int
-    # Of the server's incarnation.
+    # Hash of the server's incarnation.
     server_key: int
     ended_unix_s: float
 
 
 @frozen(kw_only=True)
 class Answered:
-    """Tell that a server answered a request whole."""
+    """A complete answer of a server to a request."""
 
     fingerprint: int
     answered_unix_s: float
@@ -71,7 +71,7 @@
 
 @frozen(kw_only=True)
 class Evidence:
-    """Hold what a blocked request is blocked for."""
+    """The crashes for which a request is blocked."""
 
     servers_ended: int
     newest_unix_s: float
@@ -99,24 +99,24 @@
 
 @define(kw_only=True)
 class CrashSuspects:
-    """Hold the requests under which servers ended, and those answered of late."""
+    """Requests that were running on servers when they crashed, and recently answered requests."""
 
     own_vm: str = ""
     _suspects: dict[int, _Suspect] = field(factory=dict)
     _answered: "OrderedDict[int, float]" = field(factory=OrderedDict)
 
     def note(self, finding: Finding) -> tuple[Finding, ...]:
-        """Take in a finding, of this VM or a peer; return what peers should hear of it."""
+        """Record a finding of this VM or a peer; return the findings to send to peers."""
         if isinstance(finding, Answered):
             return self._note_answered(finding)
         return self._note_crash(finding)
 
     def answered(self, fingerprint: int, now_unix_s: float) -> tuple[Finding, ...]:
-        """Take in that a server answered here; return what peers should hear of it."""
+        """Record that a server answered at this VM; return the findings to send to peers."""
         return self._note_answered(Answered(fingerprint=fingerprint, answered_unix_s=now_unix_s))
 
     def suspicion(self, fingerprint: int, now_unix_s: float) -> Suspicion:
-        """Say what a request may still do."""
+        """Return how far a request is restricted."""
         suspect = self._current(fingerprint, now_unix_s)
         crashes = 0 if suspect is None else len(suspect.crashes)
         if crashes >= CRASHES_TO_BLOCK:
@@ -124,30 +124,30 @@
         return Suspicion.SUSPECTED if crashes >= CRASHES_TO_SUSPECT else Suspicion.NONE
 
     def has_crash(self, fingerprint: int, server_key: int) -> bool:
-        """Say whether a server is known to have ended under a request."""
+        """Return whether a server is recorded as having crashed while running a request."""
         suspect = self._suspects.get(fingerprint)
         return suspect is not None and any(
             crash.server_key == server_key for crash in suspect.crashes
         )
 
     def evidence(self, fingerprint: int) -> Evidence | None:
-        """Return what is held against a request, None where nothing is."""
+        """Return the crashes recorded for a request, or None."""
         suspect = self._suspects.get(fingerprint)
         return None if suspect is None else suspect.evidence
 
     def crashes(self) -> list[Crash]:
-        """Return all that is held against requests."""
+        """Return all recorded crashes."""
         return [crash for suspect in self._suspects.values() for crash in suspect.crashes]
 
     def is_on_trial(self, fingerprint: int, now_unix_s: float) -> bool:
-        """Say whether a blocked request was let through a moment ago."""
+        """Return whether this VM admitted a blocked request as a trial within the last turn."""
         suspect = self._suspects.get(fingerprint)
         return suspect is not None and now_unix_s < suspect.last_trial_unix_s + TRIAL_TURN_S
 
     def try_start_trial(self, fingerprint: int, live_vms: Iterable[str], now_unix_s: float) -> bool:
-        """Say whether a blocked request is let through once, to find out whether it may be cleared.
+        """Start a trial of a blocked request if it is due, and return whether to admit it.
 
-        One VM at a time does so, in an order that all agree on, each of them once.
+        One VM at a time may run a trial, each of them once, in an order on which all VMs agree.
         """
         suspect = self._current(fingerprint, now_unix_s)
         if suspect is None:
@@ -165,7 +165,7 @@
         return True
 
     def _turn_offset(self, fingerprint: int, live_vms: Iterable[str]) -> int:
-        """Return how many VMs have their turn before this one."""
+        """Return how many VMs have their turn before this VM."""
         key = f"trial/{fingerprint}"
         own = (weight(key, self.own_vm), self.own_vm)
         return sum((weight(key, vm), vm) < own for vm in live_vms)
@@ -194,8 +194,8 @@
             return ()
         if suspect.evidence.newest_unix_s >= answered_unix_s + ANSWER_CLEARS_FOR_S:
             return ()
-        # Passed on by those alone that held something against it, so that it ends somewhere: each
-        # VM's clock makes another time of it.
+        # Only VMs that had recorded crashes forward the answer, so that forwarding terminates: its
+        # time changes at each hop as clocks differ, so a repeat would not be recognised.
         del self._suspects[fingerprint]
         return (answered,)
 
--- a/src/pomelobarrow/decision/decaying_rate.py
+++ b/src/pomelobarrow/decision/decaying_rate.py
@@ -1,4 +1,4 @@
-"""Follow the rates of many things, newer events counting more."""
+"""Exponentially decaying rates by key."""
 
 import math
 
@@ -20,18 +20,18 @@
 
 @define
 class DecayingRates:
-    """Hold by key how much of something came each second of late."""
+    """Recent rates by key, as exponentially weighted averages."""
 
     _sums: dict[str, _DecayingSum] = field(factory=dict)
 
     def add(self, key: str, amount: float, now_unix_s: float) -> None:
-        """Count an amount."""
+        """Add an amount to a key."""
         total = self._sums.setdefault(key, _DecayingSum())
         total.amount = total.at(now_unix_s) + amount
         total.unix_s = now_unix_s
 
     def per_s(self, key: str, now_unix_s: float) -> float:
-        """Return the amount a second."""
+        """Return the current rate of a key."""
         total = self._sums.get(key)
         return total.at(now_unix_s) * DECAY_PER_S if total else 0.0
 
--- a/src/pomelobarrow/decision/demand.py
+++ b/src/pomelobarrow/decision/demand.py
@@ -1,4 +1,4 @@
-"""Measure what an account's callers ask for and hold what peers were told of it."""
+"""Measure the demand of an account and track the rates announced to peers."""
 
 import math
 from collections import deque
@@ -7,11 +7,11 @@
 
 SLOW_HALF_LIFE_S = 4.0
 FAST_HALF_LIFE_S = 0.7
-# A quick average off by this many deviations tells of a jump and not of chance.
+# A difference between the averages of this many standard deviations is a step change, not noise.
 JUMP_DEVIATIONS = 3.5
-# More than peers need to be told a rate again, so that what is announced here is always told.
+# Larger than the change at which heartbeats resend a rate, so that every announced rate is sent.
 ANNOUNCE_CHANGE = 0.3
-# Told a little high, so that a rate that rose by less than is told again finds room.
+# Announced rates include headroom, so that an increase too small to announce is still covered.
 ANNOUNCE_HEADROOM = 1.2
 
 
@@ -35,11 +35,11 @@
 
 @define
 class Demand:
-    """Average one account's requests a second, refused ones included."""
+    """One account's request rate at this VM, including refused requests."""
 
     _slow: _Average = field(factory=lambda: _Average(SLOW_HALF_LIFE_S))
     _fast: _Average = field(factory=lambda: _Average(FAST_HALF_LIFE_S))
-    # When each announced rate came into force.
+    # Each announced rate with the time of its announcement.
     _announced: deque[tuple[float, float]] = field(factory=deque)
 
     def count(self, now_unix_s: float) -> None:
@@ -48,7 +48,7 @@
         self._fast.count(now_unix_s)
 
     def rate_per_s(self, now_unix_s: float) -> float:
-        """Return the rate of late: steady, but quick to follow callers who come or leave."""
+        """Return the current rate: a slow average that follows step changes quickly."""
         slow_per_s, fast_per_s = self._slow.at(now_unix_s), self._fast.at(now_unix_s)
         deviation = math.sqrt(
             max(slow_per_s, fast_per_s) * math.log(2.0) / (2.0 * FAST_HALF_LIFE_S)
@@ -59,7 +59,7 @@
         return fast_per_s
 
     def announce(self, now_unix_s: float) -> float:
-        """Return the rate to tell peers; small moves are kept back."""
+        """Return the rate to announce to peers; small changes are not announced."""
         rate = ANNOUNCE_HEADROOM * self.rate_per_s(now_unix_s)
         old = self._announced[-1][1] if self._announced else 0.0
         if abs(rate - old) <= ANNOUNCE_CHANGE * max(rate, old):
@@ -68,10 +68,10 @@
         return rate
 
     def lowest_announced_per_s(self, now_unix_s: float, propagation_s: float) -> float:
-        """Return the lowest rate that some peer may still hold as this VM's.
+        """Return the lowest rate of this VM that a peer may still hold.
 
-        A VM that took a larger share as its demand rose would take it before its peers make room:
-        together they would pass the limit for as long as the news takes.
+        A VM that increased its share as soon as its demand rose would do so before its peers reduce
+        theirs: together they would exceed the limit until the update has reached all peers.
         """
         oldest_unix_s = now_unix_s - propagation_s
         while len(self._announced) > 1 and self._announced[1][0] <= oldest_unix_s:
--- a/src/pomelobarrow/decision/errors.py
+++ b/src/pomelobarrow/decision/errors.py
@@ -1,4 +1,4 @@
-"""Typed refusals; each message names the remedy."""
+"""Typed refusals, each with a remedy."""
 
 import enum
 
@@ -6,14 +6,14 @@
 
 
 class RunStatus(enum.Enum):
-    """Say whether a request may have run."""
+    """Whether a request may have run."""
 
     NO = "no"
     UNKNOWN = "unknown"
 
 
 class ErrorKind(enum.Enum):
-    """Enumerate the problem kinds a caller can meet, with HTTP status."""
+    """Kinds of errors that are returned to callers, with their HTTP status."""
 
     MALFORMED_BODY = ("malformed_body", 400)
     MALFORMED_REQUEST = ("malformed_request", 400)
@@ -34,7 +34,7 @@
     DRAINING = ("draining", 503)
     NOT_READY = ("not_ready", 503)
     OUTCOME_UNKNOWN = ("outcome_unknown", 502)
-    # No status that clients take for a reason to send it again.
+    # Not a status on which clients retry.
     CRASHES_SERVERS = ("crashes_servers", 500)
     STILL_RUNNING = ("still_running", 409)
     ANSWER_NOT_KEPT = ("answer_not_kept", 409)
@@ -51,7 +51,7 @@
 
 @frozen(kw_only=True)
 class Refusal:
-    """Tell a caller that a request was not answered, whether it ran and what to do."""
+    """Why a request was not answered, whether it may have run, and what the caller can do."""
 
     kind: ErrorKind
     run: RunStatus
--- a/src/pomelobarrow/decision/issued_id.py
+++ b/src/pomelobarrow/decision/issued_id.py
@@ -1,4 +1,4 @@
-"""The text of an issued request id: what it names, and how it is authenticated."""
+"""Format, parse and authenticate issued request ids."""
 
 import base64
 import binascii
@@ -19,7 +19,7 @@
 
 @frozen
 class Issuer:
-    """Name the VM and incarnation that issued an id, and when the id expires."""
+    """The VM and incarnation that issued an id, and when the id expires."""
 
     vm: str
     incarnation: int
@@ -27,12 +27,12 @@
 
     @property
     def key(self) -> tuple[str, int]:
-        """Return the pair that names the issuing process."""
+        """Return the pair that identifies the issuing process."""
         return (self.vm, self.incarnation)
 
 
 class IdFaultKind(enum.Enum):
-    """Enumerate why a text isn't an issued id."""
+    """Reasons why a text is not an issued id."""
 
     TOO_LONG = "too_long"
     NOT_ISSUED = "not_issued"
@@ -40,7 +40,7 @@
 
 @frozen
 class IdFault:
-    """Say why a text isn't an issued id, and what to send instead."""
+    """Why a text is not an issued id, and what to send instead."""
 
     kind: IdFaultKind
     detail: str
@@ -50,7 +50,7 @@
 def format_id(
     secret: bytes, vm: str, incarnation: int, expires_unix_s: float, serial: int, account: str
 ) -> str:
-    """Build an id that only the holder of the secret can make, for one account."""
+    """Build an id for one account, authenticated with the secret."""
     name = _to_base64(vm.encode())
     whole_unix_s = math.floor(expires_unix_s)
     head = f"{ID_VERSION}.{name}.{incarnation:x}.{whole_unix_s:x}.{serial:x}"
@@ -58,15 +58,15 @@
 
 
 def is_authentic(request_id: str, secret: bytes, account: str) -> bool:
-    """Check, in constant time, that an id was made with this secret for this account."""
+    """Check in constant time that an id was issued with this secret for this account."""
     head, _, mac = request_id.rpartition(".")
-    # The texts are compared, not the decoded bytes: base64 has spare bits, and two spellings of
-    # one id would each run once.
+    # Compare the texts rather than the decoded bytes: base64 has unused bits, so one id could have
+    # two spellings, each of which would run once.
     return hmac.compare_digest(mac.encode(), _mac(secret, head, account).encode())
 
 
 def parse_issuer(request_id: str) -> Result[Issuer, IdFault]:
-    """Read who issued an id, without any check that it is genuine."""
+    """Parse the issuer of an id without authenticating it."""
     if len(request_id) > MAX_ID_CHARS:
         return Err(IdFault(IdFaultKind.TOO_LONG, f"longer than {MAX_ID_CHARS} characters"))
     parts = request_id.split(".")
@@ -76,14 +76,14 @@
         vm = base64.b64decode(_pad(parts[1]), altchars=b"-_", validate=True).decode()
         incarnation, expires_unix_s = int(parts[2], 16), int(parts[3], 16)
     except (binascii.Error, ValueError):
-        return Err(IdFault(IdFaultKind.NOT_ISSUED, "its parts can't be read"))
+        return Err(IdFault(IdFaultKind.NOT_ISSUED, "malformed name or number"))
     if not 0 <= incarnation <= MAX_UINT64 or not 0 <= expires_unix_s <= MAX_UINT64:
-        return Err(IdFault(IdFaultKind.NOT_ISSUED, "its numbers are out of range"))
+        return Err(IdFault(IdFaultKind.NOT_ISSUED, "number out of range"))
     return Ok(Issuer(vm, incarnation, float(expires_unix_s)))
 
 
 def _mac(secret: bytes, head: str, account: str) -> str:
-    # The head holds no newline, so no other head and account give the same message.
+    # The head contains no newline, so each pair of head and account gives a distinct message.
     message = f"{head}\n{account}".encode(errors="surrogatepass")
     return _to_base64(hmac.new(secret, message, hashlib.sha256).digest()[:MAC_BYTES])
 
--- a/src/pomelobarrow/decision/ledger_types.py
+++ b/src/pomelobarrow/decision/ledger_types.py
@@ -1,15 +1,15 @@
-"""What the request-id ledger keeps, answers and hands over."""
+"""Data types of the request-id ledger."""
 
 import enum
 
 from attrs import frozen
 
-# What a header costs beside its characters: two strings and a pair.
+# Memory overhead of a header beyond its characters: two strings and a tuple.
 HEADER_BYTES = 160
 
 
 class EntryState(enum.Enum):
-    """Enumerate what became of a used id."""
+    """States of a used id."""
 
     RUNNING = "running"
     FINISHED = "finished"
@@ -17,7 +17,7 @@
 
 
 class ClaimKind(enum.Enum):
-    """Enumerate the answers to the claim of an id."""
+    """Results of claiming an id."""
 
     FRESH = "fresh"
     RUNNING = "running"
@@ -30,7 +30,7 @@
 
 @frozen
 class Outcome:
-    """Hold how a request ended; the body is None where it was too large to keep."""
+    """How a request ended; the body is None if it was too large to keep."""
 
     status: int
     headers: tuple[tuple[str, str], ...] = ()
@@ -39,7 +39,7 @@
 
     @property
     def size_bytes(self) -> int:
-        """Return what keeping this outcome costs beside the entry itself."""
+        """Return the memory that this outcome takes in addition to its entry."""
         header_bytes = sum(HEADER_BYTES + len(name) + len(value) for name, value in self.headers)
         return header_bytes + len(self.body or b"")
 
@@ -49,7 +49,7 @@
 
 @frozen
 class Claim:
-    """Answer a claim; FINISHED carries the outcome, one with run "unknown" for a lost request."""
+    """The result of a claim; FINISHED has an outcome, with run "unknown" for a lost request."""
 
     kind: ClaimKind
     outcome: Outcome | None = None
@@ -57,7 +57,7 @@
 
 @frozen(kw_only=True)
 class LedgerEntry:
-    """Hold one used id."""
+    """A used id."""
 
     request_id: str
     account: str
@@ -68,9 +68,9 @@
 
 @frozen(kw_only=True)
 class LedgerExport:
-    """Carry one issuer's used ids and its secret to the successor."""
+    """One issuer's used ids and secret, as sent to its successor."""
 
     secret: bytes
     entries: tuple[LedgerEntry, ...]
-    # Used ids that expired up to here may be missing from the entries.
+    # Used ids that expired by this time may be missing from the entries.
     expired_through_unix_s: float
--- a/src/pomelobarrow/decision/limits.py
+++ b/src/pomelobarrow/decision/limits.py
@@ -1,4 +1,4 @@
-"""Keep account limits without shared state: each VM's share follows observed demand."""
+"""Enforce account limits without shared state: each VM's share follows observed demand."""
 
 from collections import defaultdict
 from collections.abc import Iterable, Mapping
@@ -10,19 +10,20 @@
 from pomelobarrow.decision.demand import Demand
 from pomelobarrow.decision.rate_limiter import RateLimiter
 
-# The longest way of a rate to every VM of a region: one heartbeat where all are neighbours, two
-# hops of three heartbeats each in a large region.
+# The longest time until an announced rate has reached every VM of a region: one heartbeat where all
+# VMs are neighbours, two hops of three heartbeats each in a large region.
 PROPAGATION_S = 1.5
 MULTI_HOP_PROPAGATION_S = 7.0
-# A silent peer's demand counts this long, so that a short partition gives nobody more. After it
-# each part of a partition serves up to the whole limit: the worst case is limit times parts.
+# The demand of a silent peer is counted for this long, so that a short network partition raises no
+# VM's share. After it each side of a partition admits up to the whole limit: the worst case is the
+# limit times the number of sides.
 DEMAND_RETENTION_S = 30.0
 MIN_ANNOUNCED_PER_S = 0.01
 IN_FLIGHT_RETRY_S = 1.0
-# The part of the limit that is shared out evenly whatever the demand.
+# The fraction of the limit that is divided evenly between VMs, regardless of demand.
 EVEN_SHARE = 0.05
-# What no VM asks for is given out a little more than once, so that callers who move from one VM to
-# another aren't refused; should all VMs take it at the same time, this is the overshoot.
+# Capacity that no VM demands is overcommitted by this factor, so that callers who move from one VM
+# to another are not refused. If all VMs use it at the same time, the limit is exceeded by as much.
 UNCLAIMED_OVERCOMMIT = 1.1
 
 
@@ -34,7 +35,7 @@
 
 @frozen(kw_only=True)
 class _DemandView:
-    """Hold an account's demand as this VM may count on it."""
+    """An account's demand as this VM sees it."""
 
     own_per_s: float
     total_per_s: float
@@ -44,10 +45,10 @@
 class AccountLimits:
     """Admit each account's requests up to this VM's share of its limits.
 
-    The share is the demand that every peer knows of, plus an even part of what is left of the
-    limit, or in proportion to demand where there is more demand than limit. Since no peer holds a
-    lower demand of this VM than the one it counts with, the shares never sum to more than the
-    limit while heartbeats arrive in time.
+    A VM's share is the demand that all its peers have received from it, plus an even part of the
+    unclaimed rest of the limit. Where total demand exceeds the limit, shares are proportional to
+    demand. A VM counts only the lowest of its own rates that a peer may still hold, so the shares
+    never sum to more than the limit while heartbeats arrive in time.
     """
 
     def __init__(self) -> None:
@@ -59,25 +60,25 @@
         self._region_vms = 1
 
     def set_region_vms(self, count: int) -> None:
-        """Take over how many VMs share the limits; a peer may tell the sum of several."""
+        """Set how many VMs share the limits; one peer may announce the sum of several VMs."""
         self._region_vms = count
 
     def observe_peer_demand(self, vm: str, rates: Mapping[str, float], now_unix_s: float) -> None:
-        """Take in what a peer's callers ask for."""
+        """Record the demand that a peer announced."""
         self._peers[vm] = _ReceivedDemand(rates=dict(rates), last_seen_unix_s=now_unix_s)
 
     def observe_region_demand(
         self, region: str, rates: Mapping[str, float], now_unix_s: float
     ) -> None:
-        """Take in what the callers of a whole other region ask for."""
+        """Record the total demand that a remote region announced."""
         self._regions[region] = _ReceivedDemand(rates=dict(rates), last_seen_unix_s=now_unix_s)
 
     def forget_peer(self, vm: str) -> None:
-        """Drop a VM that left."""
+        """Drop the demand of a VM that has left."""
         self._peers.pop(vm, None)
 
     def admit(self, account: Account, now_unix_s: float) -> Result[None, float]:
-        """Count one request in, or say when to come back."""
+        """Admit one request, or return the time at which to retry."""
         self._demand[account.name].count(now_unix_s)
         view = self._view(account.name, now_unix_s)
         rate_per_s = rate_share(account.max_requests_per_s, view)
@@ -92,11 +93,11 @@
         return Ok(None)
 
     def release(self, account: str) -> None:
-        """Count one request out."""
+        """Record that one admitted request has ended."""
         self._in_flight[account] = max(0, self._in_flight[account] - 1)
 
     def demand(self, now_unix_s: float) -> Mapping[str, float]:
-        """Return the requests a second that were asked for here, for heartbeats."""
+        """Return the requested rates at this VM by account, for heartbeats."""
         rates = {name: demand.announce(now_unix_s) for name, demand in self._demand.items()}
         return {name: rate for name, rate in rates.items() if rate >= MIN_ANNOUNCED_PER_S}
 
@@ -108,7 +109,8 @@
         regions = tuple(self._unexpired(self._regions, now_unix_s))
         received = (*self._unexpired(self._peers, now_unix_s), *regions)
         others_per_s = sum(each.rates.get(account, 0.0) for each in received)
-        # Other regions tell their demand, not their VMs, and are taken to be as large as this one.
+        # Remote regions announce their demand but not their VM count, so each is assumed to be as
+        # large as the local region.
         vms = region_vms * (1 + len(regions))
         return _DemandView(own_per_s=own_per_s, total_per_s=own_per_s + others_per_s, vms=vms)
 
@@ -120,7 +122,7 @@
 
 
 def rate_share(limit_per_s: float, view: _DemandView) -> float:
-    """Return the requests a second that one VM may admit."""
+    """Return the requests per second that this VM may admit."""
     demand_limit_per_s = limit_per_s * (1.0 - EVEN_SHARE)
     served = min(1.0, demand_limit_per_s / view.total_per_s) if view.total_per_s > 0 else 1.0
     unclaimed_per_s = limit_per_s - served * view.total_per_s
@@ -128,7 +130,7 @@
 
 
 def in_flight_share(limit: int, view: _DemandView) -> int:
-    """Return the requests that one VM may have in flight, at least one."""
+    """Return the number of requests that this VM may have in flight, at least one."""
     even = EVEN_SHARE * max(view.total_per_s, MIN_ANNOUNCED_PER_S) / view.vms
     share = (view.own_per_s + even) / (view.total_per_s + even * view.vms)
     return max(1, round(limit * share))
--- a/src/pomelobarrow/decision/orders.py
+++ b/src/pomelobarrow/decision/orders.py
@@ -1,4 +1,4 @@
-"""Decide which orders an engine is due, and the fencing number each carries."""
+"""Decide which orders to send to an engine, and with which fencing numbers."""
 
 import enum
 from collections.abc import Iterable
@@ -8,29 +8,30 @@
 from pomelobarrow.decision.configuration import Configuration
 from pomelobarrow.decision.work import BackendServer
 
-# A fencing number holds the revision above these bits and a count below them.
+# The low bits of a fencing number are a counter; the bits above are the revision.
 COUNT_BITS = 16
-# A former owner's order is out of its hands after this time, so a new owner waits as long.
+# Orders expire after this time, so a new owner waits as long for the former owner's orders.
 ORDER_LIFETIME_S = 5.0
 RETRY_AFTER_S = 10.0
 
 
 class OrderKind(enum.Enum):
-    """Enumerate orders; only the first kind is harmless when repeated or reordered."""
+    """Kinds of orders; only LOAD_MODEL is safe to repeat or reorder."""
 
     LOAD_MODEL = "load_model"
     SERVE_VERSION = "serve_version"
     CHANGE_ROLE = "change_role"
 
 
-# Loading adds a version beside the others. Serving or changing the role replaces what was there:
-# on an engine that ignores fencing numbers, a late order of a frozen VM would undo a newer one.
+# Loading adds a version beside the others. Serving a version or changing the role replaces the
+# current state: on an engine that ignores fencing numbers, a delayed order of a VM that was
+# suspended would undo a newer order.
 SAFE_WITHOUT_FENCING = frozenset({OrderKind.LOAD_MODEL})
 
 
 @frozen(kw_only=True)
 class Order:
-    """State what one engine is to do; it follows from the configuration alone."""
+    """An instruction to an engine, derived from the configuration alone."""
 
     kind: OrderKind
     model: str = ""
@@ -40,7 +41,7 @@
 
 @frozen(kw_only=True)
 class FencedOrders:
-    """Hold the orders to send to one engine now."""
+    """Orders to send to one engine, with their fencing number and expiry."""
 
     server: BackendServer
     revision: int
@@ -50,10 +51,10 @@
 
 
 def next_fencing(revision: int, highest_seen: int) -> int | None:
-    """Return the number for an order of a revision, or None where the engine has seen a later one.
+    """Return the fencing number for a revision, or None if the engine has seen a later revision.
 
-    Counting on from the highest number alone would let a VM that slept through a change give its
-    old orders a number that the engine accepts.
+    Incrementing the highest number seen would not suffice: a VM that was suspended during a change
+    would then give its outdated orders a number that the engine accepts.
     """
     if highest_seen >> COUNT_BITS > revision:
         return None
@@ -91,14 +92,14 @@
 
 @define
 class OrderBook:
-    """Hold which engines this VM gives orders to and what they have taken."""
+    """The engines to which this VM sends orders, and the orders they have accepted."""
 
     _engines: dict[str, _Engine] = field(factory=dict)
 
     def due(
         self, owned: Iterable[BackendServer], configuration: Configuration, now_unix_s: float
     ) -> list[FencedOrders]:
-        """Return what to send now; an engine newly owned waits until older orders have expired."""
+        """Return the orders to send now; a newly owned engine waits until older orders expired."""
         servers = {server.name: server for server in owned}
         self._engines = {
             name: self._engines.get(name) or _Engine(now_unix_s + ORDER_LIFETIME_S)
@@ -108,19 +109,19 @@
         return [each for each in found if each is not None]
 
     def observe_pause(self, now_unix_s: float) -> None:
-        """Start over after this process stood still: another VM may own the engines by now."""
+        """Restart the ownership wait after a process pause: another VM may own the engines now."""
         for engine in self._engines.values():
             engine.owned_since_unix_s = now_unix_s + ORDER_LIFETIME_S
 
     def observe_accepted(self, sent: FencedOrders) -> None:
-        """Note that an engine took the orders."""
+        """Record that an engine accepted the orders."""
         engine = self._engines.get(sent.server.name)
         if engine is not None:
             engine.done = sent.orders
             engine.highest_seen = max(engine.highest_seen, sent.fencing)
 
     def observe_highest_fencing(self, server: str, highest_seen: int) -> None:
-        """Note the highest number that an engine says it has seen."""
+        """Record the highest fencing number that an engine reports."""
         engine = self._engines.get(server)
         if engine is not None:
             engine.highest_seen = max(engine.highest_seen, highest_seen)
--- a/src/pomelobarrow/decision/rate_limiter.py
+++ b/src/pomelobarrow/decision/rate_limiter.py
@@ -1,4 +1,4 @@
-"""Hold one rate: a token bucket for bursts, a sliding window for their sum."""
+"""Limit one rate with a token bucket for bursts and a sliding window for their sum."""
 
 from collections import deque
 
@@ -11,20 +11,21 @@
 
 @define
 class RateLimiter:
-    """Count what was admitted.
+    """Rate limiter for requests admitted at one VM.
 
-    The bucket is large, since a small rate's share would else refuse callers who come in twos. The
-    window makes the bursts' sum hold: a full bucket is paid back before ten seconds are over.
+    The bucket is large, because a small bucket at a VM's small share of a rate would refuse callers
+    that send two requests together. The window bounds the sum of bursts: what a full bucket admits
+    beyond the rate is compensated within ten seconds.
     """
 
     _tokens: float | None = None
     _updated_unix_s: float = 0.0
-    # When each slice of the window began, and what it admitted.
+    # The start of each slice of the window and its number of admitted requests.
     _slices: deque[tuple[float, int]] = field(factory=deque)
     _in_window: int = 0
 
     def next_unix_s(self, rate_per_s: float, now_unix_s: float) -> float:
-        """Return when the next request may be admitted: now, or later."""
+        """Return when the next request may be admitted, now at the earliest."""
         self._refill(rate_per_s, now_unix_s)
         self._drop_old_slices(now_unix_s)
         if self._slices and self._in_window >= max(1.0, rate_per_s * WINDOW_S):
--- a/src/pomelobarrow/decision/request_ids.py
+++ b/src/pomelobarrow/decision/request_ids.py
@@ -1,8 +1,8 @@
-"""The ledger that runs each issued request id at most once.
+"""Issue request ids and run each at most once.
 
 Memory is bounded by `max_entries` ids, used or not, of ENTRY_BYTES each, plus `max_kept_bytes` of
-answers: ids issued per second times their life times ENTRY_BYTES, plus the answers kept. An id is
-counted from its issue, so there is always room to record its use.
+answers. The ids take their issue rate times their lifetime times ENTRY_BYTES. An id is counted from
+its issue, so there is always capacity to record its use.
 """
 
 import heapq
@@ -51,24 +51,24 @@
 MAX_ENTRIES = 65_536
 MAX_KEPT_BYTES = 32 * 1024 * 1024
 MAX_BODY_BYTES = 256 * 1024
-# One used id: its text, the entry, and its places in the tables; measured as 480 for a name of 25
-# characters and shared texts, see docs/design/request-ids.md.
+# The memory allowed for one used id: its text, its entry and its slots in the tables. A VM
+# name of 25 characters and shared texts takes 480 bytes, see docs/design/request-ids.md.
 ENTRY_BYTES = 768
 
 
 class AlreadyExportedError(Exception):
-    """Report a second export of the same ids."""
+    """Raised when the same ids are exported a second time."""
 
     def __init__(self, vm: str, incarnation: int) -> None:
         super().__init__(
-            f"the ids of {vm!r} ({incarnation}) were exported before, and whoever got them may "
+            f"the ids of {vm!r} ({incarnation}) were already exported and their recipient may "
             "have run some: answer repeats with run unknown"
         )
 
 
 @define
 class _IssuerRecord:
-    """Hold one issuing process's secret and how far its expired ids were forgotten."""
+    """An issuing process: its secret, its used ids and up to when its expired ids were dropped."""
 
     secret: bytes
     expired_through_unix_s: float = -math.inf
@@ -79,7 +79,7 @@
 
 @define
 class _ExpiryBucket:
-    """Hold what expires in one second."""
+    """The used and issued ids that expire at one time."""
 
     used: set[str] = field(factory=set)
     issued: Counter[str] = field(factory=Counter)
@@ -119,28 +119,28 @@
 
     @property
     def issuers(self) -> tuple[tuple[str, int], ...]:
-        """Return the (vm, incarnation) pairs whose ids are kept here."""
+        """Return the (vm, incarnation) pairs whose ids this ledger holds."""
         return tuple(self._issuer_records)
 
     @property
     def free_entries(self) -> int:
-        """Return how many more ids can be issued or taken over."""
+        """Return how many more ids can be issued or adopted."""
         return self.max_entries - self.issued_unexpired - self._adopted_entries
 
     def __len__(self) -> int:
         return len(self._entries)
 
     def entries(self) -> Iterator[LedgerEntry]:
-        """Yield the used ids."""
+        """Return an iterator over the used ids."""
         return iter(self._entries.values())
 
     def issue(self, account: str, count: int, now_unix_s: float) -> tuple[str, ...]:
-        """Issue up to `count` ids to an account, fewer where the room is short."""
+        """Issue up to `count` ids to an account, fewer if capacity is short."""
         self.expire(now_unix_s)
         if self.retired:
             return ()
-        # An account holds at most as many ids as stay free, so that one that asks without end
-        # leaves room for the others.
+        # An account holds at most as many ids as remain free, so that an account that requests ids
+        # without limit leaves capacity for others.
         fair_share = (self.free_entries - self._issued_of_account[account]) // 2
         granted = max(0, min(count, fair_share))
         if not granted:
@@ -159,7 +159,7 @@
         self.issued_unexpired += count
 
     def claim(self, request_id: str, account: str, now_unix_s: float) -> Claim:
-        """Answer whether the id may run now; FRESH is given once and marks it running."""
+        """Return whether the id may run now; FRESH is returned once and marks the id as running."""
         self.expire(now_unix_s)
         parsed = parse_issuer(request_id)
         if isinstance(parsed, Err):
@@ -173,8 +173,8 @@
         entry = self._entries.get(request_id)
         if entry is not None:
             return _claim_of(entry)
-        # The latest time seen counts, not the clock's: an id forgotten at its expiry would be
-        # fresh again after the clock was set back.
+        # Compare with the latest time seen, not the current time: an id that was dropped at its
+        # expiry would be fresh again after the clock was set back.
         if issuer.expires_unix_s <= max(self._latest_unix_s, record.expired_through_unix_s):
             return Claim(ClaimKind.EXPIRED)
         if self.retired or not self._has_capacity_for(issuer.key):
@@ -191,27 +191,27 @@
         return key == self._own_key or self.free_entries > 0
 
     def finish(self, request_id: str, outcome: Outcome) -> bool:
-        """Keep the outcome of a running id, without its body where that doesn't fit."""
+        """Store the outcome of a running id, without headers and body if they exceed the limits."""
         if not self._is_running(request_id):
             return False
         self._record_outcome(request_id, EntryState.FINISHED, self._within_limits(outcome))
         return True
 
     def lose(self, request_id: str) -> bool:
-        """Record that nobody will learn how a running id ended."""
+        """Record that the outcome of a running id can no longer be determined."""
         if not self._is_running(request_id):
             return False
         self._record_outcome(request_id, EntryState.LOST, OUTCOME_UNKNOWN)
         return True
 
     def retire(self) -> None:
-        """Let no id start here any more; those in progress still end here."""
+        """Stop claiming and issuing ids; ids in progress can still finish."""
         self.retired = True
 
     def export(self, issuer: tuple[str, int] | None = None) -> LedgerExport:
-        """Retire, and return one issuer's book (own by default), once, for one successor.
+        """Retire, and return one issuer's ids (own by default), once, for one successor.
 
-        Send it once. Send it to another only where nothing was handed to the transport: two
+        Send the export once. Send it to another VM only if nothing was handed to the transport: two
         successors, or one that restarted in between, would each run an unused id.
         """
         key = issuer or self._own_key
@@ -227,7 +227,7 @@
         )
 
     def adopt(self, vm: str, incarnation: int, export: LedgerExport) -> bool:
-        """Take over a stopped issuer's ids; False where there is no room, and nothing changed."""
+        """Adopt a stopped issuer's ids; return false and change nothing if they cannot be held."""
         key = (vm, incarnation)
         if self.retired or key in self._issuer_records or len(export.entries) > self.free_entries:
             return False
@@ -247,7 +247,7 @@
         return evolve(entry, outcome=self._within_limits(entry.outcome or OUTCOME_UNKNOWN))
 
     def expire(self, now_unix_s: float) -> int:
-        """Forget the ids that have expired, and return how many used ones there were."""
+        """Drop expired ids and return how many of them had been used."""
         self._latest_unix_s = max(self._latest_unix_s, now_unix_s)
         forgotten = 0
         while self._expiries and self._expiries[0] <= self._latest_unix_s:
@@ -319,10 +319,10 @@
 
 
 def entries_needed(ids_per_s: float, lifetime_s: float = ID_LIFETIME_S) -> int:
-    """Return how many entries a rate of issue fills."""
+    """Return how many entries an issue rate requires."""
     return math.ceil(ids_per_s * lifetime_s)
 
 
 def memory_bound_bytes(max_entries: int = MAX_ENTRIES, max_kept_bytes: int = MAX_KEPT_BYTES) -> int:
-    """Return the most memory a ledger takes."""
+    """Return the upper bound on the memory of a ledger."""
     return max_entries * ENTRY_BYTES + max_kept_bytes
--- a/src/pomelobarrow/decision/retries.py
+++ b/src/pomelobarrow/decision/retries.py
@@ -1,4 +1,4 @@
-"""Decide whether an attempt is made again and when a refused caller should come back."""
+"""Decide whether a failed attempt is retried, and when a refused caller should retry."""
 
 import enum
 from random import Random
@@ -12,13 +12,14 @@
 BUDGET_MAX = 10.0
 MAX_ATTEMPTS = 3
 MIN_RETRY_AFTER_S = 0.5
-# A pool that has just lost its servers drains at no rate, which says nothing of when it is back.
+# The wait expected of a pool without servers is unbounded, as its queue drains at a rate of zero.
+# It does not predict when servers return, so the delay is capped.
 MAX_RETRY_AFTER_S = 30.0
 RETRY_JITTER = 0.5
 
 
 class RetryDecision(enum.Enum):
-    """Say whether to try again, or why not."""
+    """Whether to retry, or the reason not to."""
 
     RETRY = "retry"
     MAY_HAVE_RUN = "may have run and is not idempotent"
@@ -29,21 +30,21 @@
 
 @define
 class RetryBudget:
-    """Hold one class's retry tokens: successes fill it, retries spend it."""
+    """A class's retry budget: successes add to it, retries spend from it."""
 
-    # A full start lets single failures be retried before any success is seen.
+    # Starts full, so that isolated failures are retried before the first success.
     _tokens: float = BUDGET_MAX
 
     def observe_success(self) -> None:
-        """Earn a part of a retry."""
+        """Add a fraction of a retry for a success."""
         self._tokens = min(BUDGET_MAX, self._tokens + BUDGET_RATIO)
 
     def has_token(self) -> bool:
-        """Say whether a retry can be paid for."""
+        """Return whether the budget covers another retry."""
         return self._tokens >= 1.0
 
     def spend(self) -> None:
-        """Pay for one retry."""
+        """Take one retry from the budget."""
         self._tokens -= 1.0
 
 
@@ -55,7 +56,7 @@
     expected_wait_s: float,
     now_unix_s: float,
 ) -> RetryDecision:
-    """Judge a failed attempt and spend the budget where the verdict is to retry."""
+    """Decide whether to retry a failed attempt, and spend from the budget if so."""
     checks = (
         (run is RunStatus.UNKNOWN and not work.repeatable, RetryDecision.MAY_HAVE_RUN),
         (now_unix_s + expected_wait_s >= work.deadline_unix_s, RetryDecision.DEADLINE),
@@ -70,6 +71,6 @@
 
 
 def retry_after_unix_s(expected_wait_s: float, now_unix_s: float, random: Random) -> float:
-    """Return when to come back, spread so that refused callers don't return together."""
+    """Return when to retry, with jitter so that refused callers do not retry together."""
     base_s = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, expected_wait_s))
     return now_unix_s + base_s * (1.0 + RETRY_JITTER * random.random())
--- a/src/pomelobarrow/decision/retry_schedule.py
+++ b/src/pomelobarrow/decision/retry_schedule.py
@@ -1,4 +1,4 @@
-"""Tell refused callers when to come back, each a later time than the one before."""
+"""Schedule the retries of refused callers, each later than the one before."""
 
 from random import Random
 
@@ -6,17 +6,18 @@
 
 MIN_RETRY_AFTER_S = 0.5
 MAX_RETRY_AFTER_S = 60.0
-# The part of the queue's pace that is kept for those who come back; new callers take the rest.
+# The fraction of the queue's throughput reserved for retries; new requests use the rest.
 RETRY_CAPACITY_SHARE = 0.2
 JITTER = 0.2
 
 
 @define
 class RetrySchedule:
-    """Hold the time up to which returning callers are expected.
+    """The latest retry time that has been given to a refused caller.
 
-    Told the same wait, all that were refused in an overload would come back together and be refused
-    again. In a line they come back no faster than the queue can take them on top of its new work.
+    Callers refused in an overload that all got the same delay would retry together and be refused
+    again. Scheduled one after another, they retry no faster than the queue can serve them on top of
+    new requests.
     """
 
     _last_slot_unix_s: float = 0.0
@@ -24,7 +25,7 @@
     def reserve(
         self, expected_wait_s: float, taken_per_s: float, now_unix_s: float, random: Random
     ) -> float:
-        """Return when the next refused caller should come back."""
+        """Reserve and return the time at which the next refused caller should retry."""
         earliest_unix_s = now_unix_s + max(MIN_RETRY_AFTER_S, expected_wait_s)
         gap_s = 1.0 / max(RETRY_CAPACITY_SHARE * taken_per_s, 1.0)
         latest_unix_s = now_unix_s + MAX_RETRY_AFTER_S
@@ -32,6 +33,6 @@
             max(earliest_unix_s, self._last_slot_unix_s + gap_s), latest_unix_s
         )
         wait_s = self._last_slot_unix_s - now_unix_s
-        # At the line's bound all would be told the same time again.
+        # At the maximum delay all callers would get the same time, so the jitter is wider there.
         jitter_s = wait_s * (0.5 if self._last_slot_unix_s >= latest_unix_s else JITTER)
         return now_unix_s + max(MIN_RETRY_AFTER_S, wait_s - jitter_s * random.random())
--- a/src/pomelobarrow/decision/retry_share.py
+++ b/src/pomelobarrow/decision/retry_share.py
@@ -1,16 +1,17 @@
-"""Keep this VM's part of the repeats that all VMs together may send to a pool."""
+"""Keep this VM within its share of the retries that all VMs together may send to a pool."""
 
 from collections import defaultdict, deque
 
 from attrs import define, field, frozen
 
-# VMs that don't see each other each take a larger part; this much of the bound stays unused.
+# VMs that do not see each other each assume a larger share, so only this fraction of the bound is
+# used.
 SAFETY_SHARE = 0.7
 
 
 @frozen(kw_only=True)
 class RetryBound:
-    """Hold the bound on arrivals beyond each request's first, in any span of the window."""
+    """The bound on retries, in any interval as long as the window."""
 
     ratio: float
     slack: float
@@ -30,18 +31,18 @@
 
 @define(kw_only=True)
 class RetryShare:
-    """Count what this VM sent to each pool within the window.
+    """This VM's share of the retry bound of each pool.
 
-    Without a bound that all VMs hold to, a pool that fails gets every request again from every VM
-    and has no chance to recover. Each VM's repeats stay under the ratio of its own requests and
-    under its part of the slack, so their sum keeps the bound with no message between them.
+    Without a common bound every VM would resend every request to a failing pool, which then could
+    not recover. Each VM limits its retries to the ratio of its own requests plus its part of the
+    slack, so their sum stays within the bound without coordination.
     """
 
     bound: RetryBound
     _pools: defaultdict[str, _Counts] = field(factory=lambda: defaultdict(_Counts))
 
     def record_first_arrival(self, pool: str, now_unix_s: float) -> None:
-        """Count a request's first arrival at a server."""
+        """Count the first arrival of a request at a server."""
         self._pools[pool].first_arrivals.append(now_unix_s)
 
     def _has_capacity(self, pool: str, live_vms: int, now_unix_s: float) -> bool:
@@ -52,7 +53,7 @@
         return len(counts.retries) + 1 <= allowed
 
     def try_take_retry(self, pool: str, live_vms: int, now_unix_s: float) -> bool:
-        """Count one more arrival where the bound leaves room for it."""
+        """Count one retry and return true if the bound allows it."""
         if not self._has_capacity(pool, live_vms, now_unix_s):
             return False
         self._pools[pool].retries.append(now_unix_s)
--- a/src/pomelobarrow/decision/server_limits.py
+++ b/src/pomelobarrow/decision/server_limits.py
@@ -1,4 +1,4 @@
-"""Keep to the requests a second that a backend server says it takes from all VMs together."""
+"""Observe the request rate limits that backend servers announce for all VMs together."""
 
 import math
 import re
@@ -9,27 +9,28 @@
 from pomelobarrow.decision.shared_rate import SharedRates
 from pomelobarrow.decision.work import BackendServer
 
-# VMs whose views of the region differ for a moment may name more senders than there should be.
+# VMs whose views of the region differ for a moment may select too many senders, so only this
+# fraction of a limit is used.
 USED_SHARE = 0.9
-# Fewer VMs send at a low rate, so that each has a part that a caller can wait for.
+# Fewer VMs send at a low rate, so that each has a share for which a request can wait.
 MIN_SHARE_PER_S = 1.0
 BURST_S = 0.5
-# A server that takes nothing gets a request now and then: nothing but an answer tells that its
-# limit has ended.
+# A server that announced a limit of zero still gets requests at this rate, since only an answer can
+# show that the limit has ended.
 MIN_LIMIT_PER_S = 0.1
 _DECIMAL = re.compile(r"\d{1,9}(\.\d{1,9})?")
 
 
 @frozen(kw_only=True)
 class NamedLimit:
-    """Hold what a server said last: its limit, or None where an answer named none any more."""
+    """The limit that a server last announced, None if its latest answer had no limit."""
 
     per_s: float | None
     named_unix_s: float
 
 
 def parse_limit(text: str) -> float | None:
-    """Return a limit as written; None for what can't be read, as if none were named."""
+    """Parse a limit header; return None, the same as for no limit, if it is malformed."""
     return float(text) if _DECIMAL.fullmatch(text.strip()) else None
 
 
@@ -39,10 +40,10 @@
 
 @define(kw_only=True)
 class ServerLimits:
-    """Hold the limits of the region's servers, by incarnation, and this VM's parts of them."""
+    """The limits of the region's servers, by incarnation, and this VM's shares of them."""
 
     own_vm: str = ""
-    # All VMs that send to these servers.
+    # Returns all VMs that send to these servers.
     region_vms: Callable[[], Iterable[str]] = tuple
     _named: dict[str, NamedLimit] = field(factory=dict)
     _rates: SharedRates = field(init=False)
@@ -58,11 +59,11 @@
 
     @property
     def named(self) -> Mapping[str, NamedLimit]:
-        """Return what is known of each server that has named a limit."""
+        """Return the state of each server that has announced a limit, by incarnation."""
         return self._named
 
     def observe(self, incarnation: str, per_s: float | None, named_unix_s: float) -> bool:
-        """Take in what a server said, to this VM or a peer; say whether that changes its limit."""
+        """Record a limit announced to this VM or a peer; return whether the limit changed."""
         known = self._named.get(incarnation)
         if known is None and per_s is None:
             return False
@@ -72,14 +73,14 @@
         return known is None or known.per_s != per_s
 
     def limit_per_s(self, server: BackendServer) -> float:
-        """Return what a server takes from all VMs together, infinity without a limit."""
+        """Return a server's request rate limit for all VMs together, infinity if there is none."""
         known = self._named.get(server.incarnation)
         if known is None or known.per_s is None:
             return math.inf
         return max(MIN_LIMIT_PER_S, known.per_s)
 
     def next_unix_s(self, server: BackendServer, now_unix_s: float) -> float:
-        """Return when this VM may send to a server next, infinity where others send there."""
+        """Return when this VM may next send to a server, infinity if only other VMs may."""
         limit_per_s = self.limit_per_s(server)
         if math.isinf(limit_per_s):
             return now_unix_s
@@ -87,16 +88,16 @@
         return self._rates.next_unix_s(key, limit_per_s, self.region_vms, now_unix_s)
 
     def allows(self, server: BackendServer, now_unix_s: float) -> bool:
-        """Say whether this VM may send to a server now."""
+        """Return whether this VM may send to a server now."""
         return not self._named or self.next_unix_s(server, now_unix_s) <= now_unix_s
 
     def take(self, server: BackendServer, now_unix_s: float) -> None:
-        """Count a request that is sent to a server."""
+        """Count a request sent to a server."""
         if server.incarnation in self._named:
             self._rates.take(server.incarnation, now_unix_s)
 
     def keep_only(self, servers: Iterable[BackendServer]) -> None:
-        """Drop what incarnations said that are no more listed."""
+        """Drop the limits of incarnations that are no longer listed."""
         gone = self._named.keys() - {server.incarnation for server in servers}
         for incarnation in gone:
             del self._named[incarnation]
--- a/src/pomelobarrow/decision/shared_rate.py
+++ b/src/pomelobarrow/decision/shared_rate.py
@@ -1,7 +1,8 @@
-"""Keep a rate that several VMs share, with no message for each request.
+"""Share a rate limit between VMs without a message for each request.
 
-Load pattern: all VMs of a region send to one server that takes few requests a second. A few of
-them, the same in every VM's view, send at an equal part of the rate, and all others send elsewhere.
+Load pattern: all VMs of a region send to one server that accepts few requests per second. A few of
+them, selected alike by every VM, send at an equal share of the rate; all others send to other
+servers.
 """
 
 import math
@@ -11,13 +12,14 @@
 
 from pomelobarrow.decision.rendezvous import rendezvous
 
-# Who lives changes seldom, and to rank the VMs of a large region takes long.
+# The set of live VMs changes rarely, and ranking the VMs of a large region is slow, so the selected
+# senders are cached for this long.
 SENDERS_TTL_S = 0.5
 
 
 @define
 class _Share:
-    """Hold this VM's part of one rate; 0 where it isn't among the senders."""
+    """This VM's share of one rate, 0 if it is not among the senders."""
 
     per_s: float = 0.0
     next_unix_s: float = float("-inf")
@@ -27,34 +29,35 @@
 
 @define(kw_only=True)
 class SharedRates:
-    """Hold this VM's parts of the rates of one purpose."""
+    """This VM's shares of all rates for one purpose."""
 
     own_vm: str
     purpose: str
-    # How many VMs send at a rate.
+    # Returns the number of senders for a rate.
     senders: Callable[[float], int]
-    # What is left free for VMs whose views of the region differ.
+    # The fraction of the rate that is used; the rest is a reserve for VMs whose views of the region
+    # differ.
     used_share: float
-    # What wasn't sent in this time may be made up for at once.
+    # Unused capacity of up to this time may be sent as a burst.
     burst_s: float = 0.0
     _shares: dict[str, _Share] = field(factory=dict)
 
     def next_unix_s(
         self, key: str, rate_per_s: float, vms: Callable[[], Iterable[str]], now_unix_s: float
     ) -> float:
-        """Return when this VM may send next, infinity where it is no sender."""
+        """Return when this VM may send next, infinity if it is not a sender."""
         share = self._share(key, rate_per_s, vms, now_unix_s)
         return share.next_unix_s if share.per_s > 0.0 else math.inf
 
     def take(self, key: str, now_unix_s: float) -> None:
-        """Count a request that is sent."""
+        """Count a request sent by this VM."""
         share = self._shares.get(key)
         if share is not None and share.per_s > 0.0:
             earliest_unix_s = max(share.next_unix_s, now_unix_s - self.burst_s)
             share.next_unix_s = earliest_unix_s + 1.0 / share.per_s
 
     def forget(self, key: str) -> None:
-        """Drop a rate that is no more."""
+        """Drop a rate that no longer applies."""
         self._shares.pop(key, None)
 
     def _share(
@@ -69,7 +72,7 @@
             share.total_per_s = rate_per_s
             share.good_until_unix_s = now_unix_s + SENDERS_TTL_S
             if share.per_s > 0.0:
-                # At a rate that rose, the wait for the old one is over sooner.
+                # After an increase of the rate, the wait is no longer than at the new rate.
                 share.next_unix_s = min(share.next_unix_s, now_unix_s + 1.0 / share.per_s)
         return share
 
--- a/src/pomelobarrow/decision/stream_admission.py
+++ b/src/pomelobarrow/decision/stream_admission.py
@@ -1,10 +1,10 @@
-"""Decide whether work that would be late is still taken, and when a refused caller comes back.
+"""Decide whether to admit a stream that would start late, and when a refused caller should retry.
 
-Load pattern: more streams come than the servers left after a crash or an evacuation can begin.
-Engines queue whatever comes, so that soon every first answer is seconds late, callers leave, and
-what the engines read for them was in vain. What its caller would leave is refused at once, and
-comes back once the servers have worked off what they hold. Long prompts are refused as soon as
-they would be late: each holds up all others.
+Load pattern: after a crash or an evacuation more streams arrive than the remaining servers can
+start. Engines queue every request they receive, so soon every first answer is seconds late, callers
+disconnect, and the prefill done for them is wasted. A stream that its caller would abandon is
+refused immediately and retried once the servers have worked off their backlog. A long prompt is
+refused as soon as it would be late, because its prefill delays all other streams.
 """
 
 from random import Random
@@ -13,34 +13,34 @@
 
 from pomelobarrow.decision.retry_schedule import RetrySchedule
 
-# Of the time after which a caller leaves a silent stream, the part that an expected wait may take.
-# Short prompts are taken up to it. Refused past 1.25 times their target, 700 of 6,900 came back
-# late that mostly would have been on time, as the estimate of a full region is pessimistic: 5,569
-# were served in time, 6,033 without that bound.
+# The fraction of the time after which a caller abandons a silent stream that the expected wait may
+# use up. Short prompts are admitted up to this bound. The estimate for a full region is too high:
+# when short prompts were refused beyond 1.25 times their target, 700 of 6,900 were retried late
+# although most would have been on time, and 5,569 were served in time instead of 6,033.
 MAX_WAIT_SHARE = 0.75
-# A caller heeds a time to come back up to a third of what it has left.
+# Callers ignore a Retry-After beyond a third of their remaining time.
 RETRY_AFTER_SHARE = 0.3
-# Where the wait is cut to that share, all would come back together; they are spread over this part.
+# Delays capped at that share would all be equal, so they are spread over this fraction of the cap.
 SPREAD_SHARE = 0.7
-# A caller comes back after this long at least, so that what was refused isn't all back at once.
+# The shortest retry delay, so that refused requests do not all return immediately.
 MIN_RETRY_AFTER_S = 0.15
 
 
 @frozen(kw_only=True)
 class StreamExpectations:
-    """Hold what a stream's caller was promised, and what it bears."""
+    """The latency target of a stream and how long its caller waits."""
 
     first_answer_due_unix_s: float
-    # The caller leaves a stream that is silent for this long.
+    # The caller abandons a stream that is silent for this long.
     silence_patience_s: float
-    # Its reading delays what comes after it.
+    # The prefill of the prompt delays the requests after it.
     is_long: bool
-    # It was refused or cut off before, so that it is late already, and won't come a third time.
+    # The stream was refused or cut off before: it is late already, and there is no third try.
     is_resubmission: bool
 
 
 def is_worth_taking(expectations: StreamExpectations, expected_s: float, now_unix_s: float) -> bool:
-    """Say whether a stream whose first answer is expected so late is better taken than refused."""
+    """Return whether to admit a stream whose first answer is expected after this time."""
     if expectations.is_long and not expectations.is_resubmission:
         return expected_s <= expectations.first_answer_due_unix_s - now_unix_s
     return expected_s <= MAX_WAIT_SHARE * expectations.silence_patience_s
@@ -54,7 +54,7 @@
     now_unix_s: float,
     random: Random,
 ) -> float:
-    """Return when a refused caller comes back: in turn, and while it still heeds it."""
+    """Return when a refused caller should retry, within the delay that callers accept."""
     latest_s = RETRY_AFTER_SHARE * max(0.0, deadline_unix_s - now_unix_s)
     expected_wait_s = min(expected_wait_s, latest_s)
     retry_delay_s = schedule.reserve(expected_wait_s, taken_per_s, now_unix_s, random) - now_unix_s
--- a/src/pomelobarrow/decision/work_queue.py
+++ b/src/pomelobarrow/decision/work_queue.py
@@ -12,16 +12,17 @@
 from pomelobarrow.decision.work import Work
 
 MAX_WAITING = {Rank.PAYING: 2_000, Rank.TRIAL: 500}
-# A peer that isn't heard any more must not hold trial work back for good.
+# The waiting count of a peer expires, so that a silent peer does not block trial work forever.
 PEER_WAITING_TTL_S = 2.0
-# Work that finds no room is skipped, as the next may be free to use other servers. Few are asked:
-# a full pool would else be looked through once for each waiting request at every free slot.
+# Work that cannot be placed is skipped, as the next may be allowed on other servers. The number of
+# skips is bounded: otherwise a full pool would be searched for every waiting request at each free
+# slot.
 MAX_SKIPPED = 4
 
-# The part of the time to the first-token target that work may spend in the queue.
+# The fraction of the time to the first-token target that work may spend in the queue.
 QUEUE_SHARE_OF_TARGET = 0.5
 
-# Says at a time when work is due.
+# Returns when work is due, as of a time.
 DueFunction = Callable[[Work, float], float]
 
 
@@ -40,11 +41,10 @@
 
 
 class WorkQueue:
-    """Hold waiting work: paying before trial, then by the time it is due.
+    """Waiting work of one pool: paying before trial, then by due time.
 
-    Work is due some time before its class's target for the first token. Once that can't be met it
-    is due at its deadline: so one late request doesn't make the next ones late too, and none is
-    late for good.
+    Work is due some time before its class's first-token target. Once that time has passed, the work
+    is due at its deadline, so that a late request does not delay the next ones and is still served.
     """
 
     def __init__(self, pool: str, due: DueFunction | None = None) -> None:
@@ -58,11 +58,11 @@
         self._retry_schedules = {rank: RetrySchedule() for rank in Rank}
 
     def is_full(self, rank: Rank) -> bool:
-        """Say whether a rank's bound is reached."""
+        """Return whether the queue of a rank is full."""
         return self.waiting(rank) >= MAX_WAITING[rank]
 
     def push(self, work: Work, now_unix_s: float) -> None:
-        """Add work; the same request twice counts once."""
+        """Add work; a request that is already queued is ignored."""
         if work.request_id in self._by_id:
             return
         self._throughput[work.rank].pushed(
@@ -72,7 +72,7 @@
         self._insert(_Entry(self._due(work, now_unix_s), self._sequence, work))
 
     def pop_next(self, now_unix_s: float, may_take: Callable[[Work], bool]) -> Work | None:
-        """Take the first work that may be taken; trial only while no paying work waits."""
+        """Remove and return the first work that may run, trial only if no paying work waits."""
         for work in self.first(MAX_SKIPPED + 1, now_unix_s):
             if may_take(work):
                 self.take(work, now_unix_s)
@@ -80,18 +80,18 @@
         return None
 
     def take(self, work: Work, now_unix_s: float) -> None:
-        """Take out work that found a server."""
+        """Remove work that has been assigned to a server."""
         self._throughput[work.rank].taken(work.request_id, now_unix_s)
         self.remove(work.request_id)
 
     def first(self, count: int, now_unix_s: float) -> list[Work]:
-        """Return the work that is next: paying, or trial while no paying work waits."""
+        """Return the next work: paying, or trial if no paying work waits."""
         self._reorder_late_entries(now_unix_s)
         rank = Rank.PAYING if self.has_waiting_paying(now_unix_s) else Rank.TRIAL
         return [entry.work for entry in self._ordered[rank][:count]]
 
     def remove(self, request_id: str) -> bool:
-        """Drop work that its caller gave up; say whether it waited here."""
+        """Remove work that its caller abandoned; return whether it was queued."""
         entry = self._by_id.pop(request_id, None)
         if entry is None:
             return False
@@ -103,7 +103,7 @@
     def expired(
         self, now_unix_s: float, service_s: Callable[[Work], float] = lambda work: 0.0
     ) -> list[Work]:
-        """Take out the work that can no longer finish by its deadline."""
+        """Remove and return the work that can no longer finish by its deadline."""
         late = [
             entry.work
             for entry in self._by_id.values()
@@ -114,43 +114,43 @@
         return late
 
     def holds(self, request_id: str) -> bool:
-        """Say whether a request waits here."""
+        """Return whether a request is queued."""
         return request_id in self._by_id
 
     def waiting(self, rank: Rank) -> int:
-        """Count a rank's waiting work here."""
+        """Return the amount of queued work of a rank."""
         return len(self._ordered[rank])
 
     def observe_peer_waiting(self, vm: str, paying: int, now_unix_s: float, trial: int = 0) -> None:
-        """Take in how much work waits at a peer of this region."""
+        """Record how much work waits at a peer of this region."""
         self._peers[vm] = _PeerWaiting(paying=paying, trial=trial, last_seen_unix_s=now_unix_s)
 
     def forget_peer(self, vm: str) -> None:
-        """Drop a peer that left."""
+        """Drop the counts of a peer that has left."""
         self._peers.pop(vm, None)
 
     def has_waiting_paying(self, now_unix_s: float) -> bool:
-        """Say whether paying work waits here or at a peer."""
+        """Return whether paying work waits here or at a peer."""
         if self._ordered[Rank.PAYING]:
             return True
         return any(peer.paying for peer in self._recent_peers(now_unix_s))
 
     def ahead(self, work: Work, now_unix_s: float) -> int:
-        """Count what would go before new work, here and at peers."""
+        """Return how much work is ahead of new work, here and at peers."""
         return self._ahead_here(work, now_unix_s) + self._ahead_at_peers(work.rank, now_unix_s)
 
     def expected_wait_s(self, work: Work, drain_per_s: float, now_unix_s: float) -> float:
-        """Return the seconds until new work would leave the queue, by the servers' speed."""
+        """Return the wait of new work at the servers' drain rate."""
         return self.ahead(work, now_unix_s) / max(drain_per_s, 1e-6)
 
     def wait_per_request_ahead_s(self, rank: Rank, now_unix_s: float) -> float:
-        """Return the seconds that each request ahead has cost of late, zero where unknown."""
+        """Return the recent wait per request ahead, zero if unknown."""
         return self._throughput[rank].wait_per_request_ahead_s(now_unix_s)
 
     def retry_at_unix_s(
         self, rank: Rank, expected_wait_s: float, now_unix_s: float, random: Random
     ) -> float:
-        """Return when a caller whose work is refused should come back."""
+        """Return when a caller whose work is refused should retry."""
         taken_per_s = self._throughput[rank].taken_per_s(now_unix_s)
         return self._retry_schedules[rank].reserve(expected_wait_s, taken_per_s, now_unix_s, random)
 
@@ -175,7 +175,7 @@
         insort(self._ordered[entry.work.rank], entry)
 
     def _reorder_late_entries(self, now_unix_s: float) -> None:
-        """Order the entries whose target has passed by their deadline."""
+        """Requeue the entries whose due time has passed at their deadline."""
         for ordered in self._ordered.values():
             while ordered and ordered[0].due_unix_s < now_unix_s:
                 entry = ordered[0]
@@ -187,10 +187,10 @@
 
 
 def due_unix_s(work: Work, now_unix_s: float) -> float:
-    """Return when work should get a server, or its deadline once that is too late for the target.
+    """Return when work should get a server, or its deadline once that time has passed.
 
-    The other part of the time to the target is for the prefill and the batch on the server. Were
-    work due at the target itself, in an overload each would get its server just too late.
+    The rest of the time to the target is for prefill and batching on the server. If work were due
+    at the target itself, in an overload every request would get its server slightly too late.
     """
     target_s = work.first_token_due_unix_s - work.accepted_unix_s
     due = work.accepted_unix_s + QUEUE_SHARE_OF_TARGET * target_s
