--- a/src/pomelobarrow/decision/limits.py
+++ b/src/pomelobarrow/decision/limits.py
@@ -53,7 +53,7 @@
 
     def __init__(self) -> None:
         self._demand: defaultdict[str, Demand] = defaultdict(Demand)
-        self._meters: defaultdict[str, RateLimiter] = defaultdict(RateLimiter)
+        self._rate_limiters: defaultdict[str, RateLimiter] = defaultdict(RateLimiter)
         self._in_flight: defaultdict[str, int] = defaultdict(int)
         self._peers: dict[str, _ReceivedDemand] = {}
         self._regions: dict[str, _ReceivedDemand] = {}
@@ -82,13 +82,13 @@
         self._demand[account.name].count(now_unix_s)
         view = self._view(account.name, now_unix_s)
         rate_per_s = rate_share(account.max_requests_per_s, view)
-        meter = self._meters[account.name]
-        retry_at_unix_s = meter.next_unix_s(rate_per_s, now_unix_s)
+        limiter = self._rate_limiters[account.name]
+        retry_at_unix_s = limiter.next_unix_s(rate_per_s, now_unix_s)
         if retry_at_unix_s > now_unix_s:
             return Err(retry_at_unix_s)
         if self._in_flight[account.name] >= in_flight_share(account.max_requests_in_flight, view):
             return Err(now_unix_s + IN_FLIGHT_RETRY_S)
-        meter.count(now_unix_s)
+        limiter.count(now_unix_s)
         self._in_flight[account.name] += 1
         return Ok(None)
 
--- a/src/pomelobarrow/decision/retries.py
+++ b/src/pomelobarrow/decision/retries.py
@@ -63,9 +63,9 @@
         (attempts >= MAX_ATTEMPTS, RetryDecision.ATTEMPTS),
         (not budget.has_token(), RetryDecision.BUDGET),
     )
-    for fails, verdict in checks:
+    for fails, decision in checks:
         if fails:
-            return verdict
+            return decision
     budget.spend()
     return RetryDecision.RETRY
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Work that can't be served in time is refused at once, with when to come back."""
+"""Work that cannot be served in time is refused immediately, with a retry time."""
 
 from random import Random
 
@@ -54,7 +54,7 @@
     assert refused.remedy
 
 
-def test_a_full_queue_refuses_the_next_of_its_rank_with_when_to_come_back() -> None:
+def test_a_full_queue_refuses_more_work_of_its_rank_with_a_retry_time() -> None:
     queue = WorkQueue(POOL)
     for number in range(MAX_WAITING[Rank.TRIAL]):
         queue.push(trial(f"t{number}"), 0.0)
@@ -65,7 +65,7 @@
     assert isinstance(ask(work(), queue=queue), Ok)
 
 
-def test_refused_work_takes_nothing_of_its_accounts_limit() -> None:
+def test_refused_work_does_not_count_against_its_accounts_limit() -> None:
     limits = AccountLimits()
     for _ in range(100):
         admit(
@@ -81,14 +81,14 @@
     assert limits.demand(1.0) == {}
 
 
-def test_a_pools_wait_counts_its_servers_prefill() -> None:
+def test_expected_wait_of_a_pool_includes_its_servers_prefill() -> None:
     table, queue = table_of(2), WorkQueue(POOL)
     idle_s = expected_wait_s(table, queue, work(), 1.0)
     for server in ("s1", "s2"):
         table.charge(server, server, 20_000, 1.0)
     assert idle_s == 0.0
-    reading_s = 20_000 / DEFAULT_PREFILL_TOKENS_PER_S
-    assert expected_wait_s(table, queue, work(), 1.0) == pytest.approx(reading_s)
+    prefill_s = 20_000 / DEFAULT_PREFILL_TOKENS_PER_S
+    assert expected_wait_s(table, queue, work(), 1.0) == pytest.approx(prefill_s)
     assert expected_wait_s(table_of(0), queue, work(), 1.0) == float("inf")
 
 
@@ -104,7 +104,7 @@
     assert [estimate_prompt_tokens(size) for size in (0, 1, 4, 5)] == [0, 1, 1, 2]
 
 
-def test_expected_output_follows_the_classs_answers() -> None:
+def test_expected_output_follows_the_observed_answers_of_a_class() -> None:
     outputs = OutputEstimate()
     for _ in range(100):
         outputs.observe("review", 400)
--- a/tests/test_attempt.py
+++ b/tests/test_attempt.py
@@ -1,4 +1,4 @@
-"""What is said of an attempt is true: "not run" never of something that ran or still may run."""
+"""An attempt is never reported as not run if it ran or may still run."""
 
 import itertools
 
@@ -21,7 +21,7 @@
 
 
 class Executor:
-    """Know the truth: what it received, ran, or barred after a refusal or cancellation."""
+    """Ground truth: whether the request ran, has ended or may still start at this executor."""
 
     def __init__(self):
         self.may_still_start = False
@@ -30,7 +30,7 @@
 
 
 class NotRunIsTrue(RuleBasedStateMachine):
-    """Send one request that may not be repeated, over connections that break and come late."""
+    """Send one non-repeatable request over connections that break or deliver late."""
 
     def __init__(self):
         super().__init__()
@@ -47,7 +47,7 @@
             self.executors.append(Executor())
 
     def apply(self, index, event):
-        """Apply an event; a refused one leaves the state as it was."""
+        """Apply an event; a disallowed event leaves the state unchanged."""
         before = self.attempts[index].state
         try:
             self.attempts[index].apply(event)
@@ -96,7 +96,7 @@
         return chosen[pick % len(chosen) :][:1] if chosen else []
 
     @invariant()
-    def the_verdict_is_true_and_nothing_ran_twice(self):
+    def status_is_correct_and_nothing_ran_twice(self):
         may_have_run = [executor.ran or executor.may_still_start for executor in self.executors]
         assert sum(may_have_run) <= 1
         if run_status(attempt.state for attempt in self.attempts) is RunStatus.NO:
@@ -110,7 +110,7 @@
 
 @pytest.mark.parametrize("state", AttemptState)
 @pytest.mark.parametrize("event", AttemptEvent)
-def test_an_event_moves_along_the_table_or_raises_naming_the_remedy(state, event):
+def test_an_event_follows_the_transition_table_or_raises_with_a_remedy(state, event):
     attempt = Attempt(state)
     if (state, event) in TRANSITIONS:
         assert attempt.apply(event) is TRANSITIONS[state, event]
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize("states", [*itertools.product(AttemptState, repeat=2)])
-def test_not_run_needs_every_attempt_to_be_certain(states):
+def test_not_run_requires_that_no_attempt_may_have_run(states):
     certain = {AttemptState.NOT_SENT, AttemptState.REFUSED_UNRUN}
     assert (run_status(states) is RunStatus.NO) == (set(states) <= certain)
     assert may_retry(states, repeatable=False) == (set(states) <= certain)
@@ -134,13 +134,14 @@
         attempt.apply(AttemptEvent.SEND)
 
 
-@pytest.mark.parametrize("word", [AttemptEvent.REFUSE_UNRUN, AttemptEvent.CONFIRM_CANCELLED_UNRUN])
-def test_a_backend_server_that_answered_is_not_believed_that_nothing_ran(word):
-    # The server sends a first byte and restarts, which breaks the connection. Asked to cancel, it
-    # has forgotten the run and says "not run"; passed on, the caller would send the order again.
+@pytest.mark.parametrize("event", [AttemptEvent.REFUSE_UNRUN, AttemptEvent.CONFIRM_CANCELLED_UNRUN])
+def test_not_run_report_is_rejected_from_a_server_that_has_answered(event):
+    # The server sends a first byte and restarts, which breaks the connection. On a cancellation it
+    # reports "not run", as it has no record of the run. If that were relayed, the caller would send
+    # the request again although it ran.
     attempt = Attempt()
-    for event in (AttemptEvent.SEND, AttemptEvent.FIRST_BYTE, AttemptEvent.LOSE):
-        attempt.apply(event)
+    for earlier in (AttemptEvent.SEND, AttemptEvent.FIRST_BYTE, AttemptEvent.LOSE):
+        attempt.apply(earlier)
     with pytest.raises(IllegalTransitionError, match="report the outcome as unknown"):
-        attempt.apply(word)
+        attempt.apply(event)
     assert run_status([attempt.state]) is RunStatus.UNKNOWN
--- a/tests/test_cold_start.py
+++ b/tests/test_cold_start.py
@@ -1,4 +1,4 @@
-"""A cold server gets no more than it bears from all VMs together."""
+"""All VMs together stay within the request rate of a cold server."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -20,8 +20,8 @@
 
 @settings(deadline=None)
 @given(vms=st.integers(1, 40), rate_per_s=st.floats(1.0, 20.0))
-def test_any_second_of_all_vms_stays_within_the_bound(vms: int, rate_per_s: float) -> None:
-    """Every VM of a region has more work than a server that has just started may get."""
+def test_requests_of_all_vms_in_any_second_are_bounded(vms: int, rate_per_s: float) -> None:
+    """Every VM of a region has more work than a newly started server can handle."""
     names = [f"vm-{number}" for number in range(vms)]
     limiters = [ColdLimiter(own_vm=name) for name in names]
     sent_unix_s: list[float] = []
--- a/tests/test_crash_suspects.py
+++ b/tests/test_crash_suspects.py
@@ -1,4 +1,4 @@
-"""Which requests run no more, judged from crashes and answers."""
+"""Requests that crash servers are blocked, and others are not."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -31,7 +31,7 @@
     return suspects
 
 
-def test_request_is_blocked_from_the_third_server_on() -> None:
+def test_request_is_blocked_after_three_crashes() -> None:
     suspects = CrashSuspects()
     seen = []
     for key in range(4):
@@ -41,23 +41,23 @@
     assert seen == expected
 
 
-def test_server_that_several_vms_saw_end_counts_once() -> None:
+def test_crash_observed_by_several_vms_counts_once() -> None:
     suspects = CrashSuspects()
     forwarded = [suspects.note(crash(7, at)) for at in (100.0, 100.1, 100.2)]
     assert [len(each) for each in forwarded] == [1, 0, 0]
     assert suspects.suspicion(1, 101.0) is Suspicion.NONE
 
 
-def test_server_that_comes_back_under_its_name_and_ends_again_counts_again() -> None:
-    """Where nobody tells when a server started, two servers ended by turns without an end."""
+def test_second_crash_of_a_restarted_server_with_the_same_key_counts_again() -> None:
+    """Without start times of servers, one request crashed two servers in turn indefinitely."""
     suspects = CrashSuspects()
     for number in range(3):
         suspects.note(crash(7, 100.0 + 2.0 * number))
     assert suspects.suspicion(1, 105.0) is Suspicion.BLOCKED
 
 
-def test_requests_beside_the_crashing_one_stay_clear() -> None:
-    """Each server that ended had nineteen others on it, new ones each time."""
+def test_other_requests_on_a_crashed_server_are_not_suspected() -> None:
+    """Each crashed server was running nineteen other requests, different ones each time."""
     suspects = CrashSuspects()
     for key in range(3):
         for other in range(19):
@@ -67,8 +67,8 @@
     assert all(suspects.suspicion(100 + other, 104.0) is Suspicion.NONE for other in range(57))
 
 
-def test_request_that_was_answered_shortly_before_a_rack_ends_is_not_blamed() -> None:
-    """Three servers of a rack ended at once, each with the same status check on it."""
+def test_request_answered_shortly_before_a_rack_failure_is_not_suspected() -> None:
+    """Three servers of a rack failed at the same time while running the same status check."""
     suspects = CrashSuspects()
     suspects.answered(1, 95.0)
     forwarded = [suspects.note(crash(key, 100.0)) for key in range(3)]
@@ -76,7 +76,7 @@
     assert all(isinstance(each, Answered) for findings in forwarded for each in findings)
 
 
-def test_answer_that_a_peer_tells_of_clears_a_blocked_request() -> None:
+def test_answer_reported_by_a_peer_clears_a_blocked_request() -> None:
     suspects = blocked()
     answered = Answered(fingerprint=1, answered_unix_s=101.0)
     assert suspects.note(answered) == (answered,)
@@ -85,7 +85,7 @@
 
 
 def test_answer_long_before_the_crashes_clears_nothing() -> None:
-    """A new version of the servers ends under what the old one answered."""
+    """A new server version crashes on a request that the old version answered."""
     suspects = CrashSuspects()
     suspects.answered(1, 100.0 - ANSWER_CLEARS_FOR_S - 1.0)
     for key in range(3):
@@ -93,23 +93,23 @@
     assert suspects.suspicion(1, 100.0) is Suspicion.BLOCKED
 
 
-def test_one_vm_at_a_time_tries_a_blocked_request_again() -> None:
-    """All VMs see the request each second; each trial that isn't answered ends a server."""
+def test_one_vm_at_a_time_runs_a_trial_of_a_blocked_request() -> None:
+    """All VMs receive the request every second; each trial may crash a server."""
     views = [blocked(vm) for vm in VMS]
     after_s = TRIAL_AFTER_S[CRASHES_TO_BLOCK]
-    let_through = [
+    trials = [
         (second, view.own_vm)
         for second in range(200)
         for view in views
         if view.try_start_trial(1, VMS, 100.0 + second)
     ]
-    seconds = [second for second, _ in let_through]
+    seconds = [second for second, _ in trials]
     assert seconds == [int(after_s + turn * TRIAL_TURN_S) for turn in range(len(VMS))]
-    assert {vm for _, vm in let_through} == set(VMS)
+    assert {vm for _, vm in trials} == set(VMS)
 
 
-def test_blocked_request_that_comes_seldom_gets_its_trial() -> None:
-    """It comes once a minute, at another VM each time, and missed the one turn of each."""
+def test_rarely_sent_blocked_request_gets_a_trial() -> None:
+    """A request sent once a minute, to another VM each time, missed the only turn of each VM."""
     views = [blocked(vm) for vm in VMS]
     trials = [
         minute
@@ -119,7 +119,7 @@
     assert trials
 
 
-def test_crashing_request_ends_two_more_servers_at_most_by_trials() -> None:
+def test_trials_of_a_crashing_request_crash_at_most_two_more_servers() -> None:
     views = [blocked(vm) for vm in VMS]
     ended = 0
     for second in range(int(CRASH_RETENTION_S)):
@@ -131,7 +131,7 @@
     assert ended == len(TRIAL_AFTER_S)
 
 
-def test_innocent_request_that_was_blocked_is_cleared_by_its_first_trial() -> None:
+def test_wrongly_blocked_request_is_cleared_by_its_first_trial() -> None:
     views = [blocked(vm) for vm in VMS]
     second, view = next(
         (second, view)
@@ -146,15 +146,15 @@
     assert all(each.suspicion(1, 101.0 + second) is Suspicion.NONE for each in views)
 
 
-def test_blocked_request_is_forgotten_after_an_hour() -> None:
+def test_blocked_request_is_dropped_after_an_hour() -> None:
     suspects = blocked(crashes=8)
     assert suspects.suspicion(1, 99.0 + CRASH_RETENTION_S) is Suspicion.BLOCKED
     assert suspects.suspicion(1, 101.0 + CRASH_RETENTION_S) is Suspicion.NONE
     assert suspects.crashes() == []
 
 
-def test_bodies_that_change_each_time_push_no_blocked_request_out() -> None:
-    """A caller ends servers with another body each time, to use up the memory."""
+def test_changing_bodies_do_not_evict_a_blocked_request() -> None:
+    """A caller crashes servers with a different body each time to exhaust the table."""
     suspects = blocked()
     for number in range(3 * MAX_SUSPECTS):
         suspects.note(crash(number, 101.0 + number / 1e3, fingerprint=1_000 + number))
@@ -162,7 +162,7 @@
     assert len(suspects.crashes()) <= MAX_SUSPECTS + CRASHES_TO_BLOCK
 
 
-def test_answers_are_kept_up_to_a_bound() -> None:
+def test_number_of_stored_answers_is_bounded() -> None:
     suspects = CrashSuspects()
     for number in range(2 * MAX_ANSWERED):
         suspects.answered(number, 100.0 + number / 1e4)
@@ -181,8 +181,8 @@
 
 
 @given(FINDINGS)
-def test_findings_that_go_round_between_vms_come_to_an_end(findings: list[object]) -> None:
-    """Each VM passes on what is new to it; clocks that differ give it another time each hop."""
+def test_forwarding_of_findings_between_vms_terminates(findings: list[object]) -> None:
+    """VMs forward findings new to them, and clock differences change the time at each hop."""
     views = [CrashSuspects(own_vm=vm) for vm in VMS[:3]]
     waiting = [(0, each) for each in findings]
     handled = 0
@@ -190,8 +190,8 @@
         index, finding = waiting.pop()
         handled += 1
         assert handled < 2_000
-        for news in views[index].note(finding):  # type: ignore[arg-type]
-            later = _shifted(news, 0.003)
+        for new in views[index].note(finding):  # type: ignore[arg-type]
+            later = _shifted(new, 0.003)
             waiting += [(other, later) for other in range(3) if other != index]
 
 
--- a/tests/test_decaying_rate.py
+++ b/tests/test_decaying_rate.py
@@ -1,4 +1,4 @@
-"""Rates follow the newest events."""
+"""Decaying rates follow recent events."""
 
 import pytest
 
@@ -19,7 +19,7 @@
     assert rates.per_s("s1", 1.0 + HALF_LIFE_S) == pytest.approx(first / 2.0)
 
 
-def test_unknown_or_forgotten_key_has_no_rate() -> None:
+def test_unknown_or_forgotten_key_has_a_rate_of_zero() -> None:
     rates = DecayingRates()
     rates.add("s1", 100.0, 1.0)
     rates.forget("s1")
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""VMs without shared state keep an account's limits together."""
+"""VMs without shared state enforce an account's limits together."""
 
 import pytest
 from result import Err, Ok
@@ -12,7 +12,7 @@
 
 
 def admitted(limits: AccountLimits, per_s: float, from_unix_s: float, seconds: float) -> int:
-    """Ask at an even rate and tell demand to nobody but itself each second."""
+    """Send requests at an even rate to one VM without exchanging demand."""
     count, gap_s = 0, 1.0 / per_s
     for step in range(round(seconds * per_s)):
         now = from_unix_s + step * gap_s
@@ -39,7 +39,7 @@
 
 
 def run_fleet(limits: list[AccountLimits], per_s: float, from_s: float, seconds: float) -> int:
-    """Ask all VMs evenly for a rate in total, with a heartbeat each second."""
+    """Send requests evenly to all VMs at a total rate, with a heartbeat each second."""
     count = 0
     for step in range(round(seconds * per_s)):
         now = from_s + step / per_s
@@ -52,22 +52,22 @@
     return count
 
 
-def test_one_vm_alone_gives_the_whole_limit() -> None:
+def test_one_vm_alone_admits_the_whole_limit() -> None:
     count = admitted(AccountLimits(), 3.0 * LIMIT_PER_S, 0.0, 10.0)
     assert 0.9 <= count / (10.0 * LIMIT_PER_S) <= 1.1
 
 
 @pytest.mark.parametrize("vms", [2, 6])
-def test_the_sum_passes_the_limit_by_a_tenth_at_most(vms: int) -> None:
+def test_the_sum_exceeds_the_limit_by_at_most_a_tenth(vms: int) -> None:
     limits = fleet(vms)
     run_fleet(limits, 3.0 * LIMIT_PER_S, 0.0, 10.0)
     count = run_fleet(limits, 3.0 * LIMIT_PER_S, 10.0, 10.0)
     assert 0.85 <= count / (10.0 * LIMIT_PER_S) <= 1.1
 
 
-def test_a_burst_at_all_vms_is_paid_back_within_ten_seconds() -> None:
-    # Nobody asked for long, so every VM's bucket is full; then callers come to all VMs at once.
-    # Each bucket given out on top of the rate would pass the limit together.
+def test_a_burst_at_all_vms_is_compensated_within_ten_seconds() -> None:
+    # After an idle period the bucket of every VM is full, and requests arrive at all VMs together.
+    # The sum of all buckets on top of the rate would exceed the limit.
     limits = fleet(2)
     exchange(limits, 0.0)
     assert run_fleet(limits, 5.0 * LIMIT_PER_S, 100.0, 10.0) <= 1.1 * 10.0 * LIMIT_PER_S
@@ -82,7 +82,8 @@
 
 
 def test_a_silent_peer_keeps_its_share_for_thirty_seconds() -> None:
-    # A link is cut. Were the peer's demand dropped at once, both sides would give the whole limit.
+    # If the demand of a peer were dropped when its link fails, both sides would admit the whole
+    # limit.
     limits = AccountLimits()
     limits.set_region_vms(2)
     limits.observe_peer_demand("vm-2", {ACCOUNT.name: 3.0 * LIMIT_PER_S}, 0.0)
@@ -92,7 +93,7 @@
     assert after >= 0.9 * 20.0 * LIMIT_PER_S
 
 
-def test_another_regions_demand_takes_its_part() -> None:
+def test_demand_of_a_remote_region_reduces_the_local_share() -> None:
     limits = AccountLimits()
     limits.observe_region_demand("turin", {ACCOUNT.name: 3.0 * LIMIT_PER_S}, 0.0)
     assert admitted(limits, 3.0 * LIMIT_PER_S, 0.0, 20.0) <= 0.7 * 20.0 * LIMIT_PER_S
@@ -106,12 +107,12 @@
     assert isinstance(limits.admit(ACCOUNT, 2.0), Ok)
 
 
-def test_a_refusal_says_when_the_next_request_is_admitted() -> None:
-    meter = RateLimiter()
-    while meter.next_unix_s(2.0, 0.0) <= 0.0:
-        meter.count(0.0)
-    retry_at_unix_s = meter.next_unix_s(2.0, 0.0)
-    assert meter.next_unix_s(2.0, retry_at_unix_s) <= retry_at_unix_s
+def test_a_refusal_returns_when_the_next_request_is_admitted() -> None:
+    limiter = RateLimiter()
+    while limiter.next_unix_s(2.0, 0.0) <= 0.0:
+        limiter.count(0.0)
+    retry_at_unix_s = limiter.next_unix_s(2.0, 0.0)
+    assert limiter.next_unix_s(2.0, retry_at_unix_s) <= retry_at_unix_s
 
 
 def test_admit_refuses_with_a_time_in_the_future() -> None:
@@ -121,7 +122,7 @@
     assert all(each.err_value > 0.0 for each in refused)
 
 
-def test_a_risen_demand_counts_once_every_peer_has_heard_it() -> None:
+def test_increased_demand_counts_once_every_peer_has_received_it() -> None:
     demand = Demand()
     for step in range(100):
         demand.count(step * 0.1)
@@ -130,7 +131,7 @@
     assert demand.lowest_announced_per_s(11.6, propagation_s=1.5) == announced_per_s
 
 
-def test_a_small_move_is_not_announced() -> None:
+def test_a_small_change_is_not_announced() -> None:
     demand = Demand()
     for step in range(300):
         demand.count(step * 0.1)
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines: fencing, what may go to engines that check none, and two racing owners."""
+"""Orders to engines: fencing, engines that do not check fencing numbers, and competing owners."""
 
 import pytest
 from attrs import evolve
@@ -57,11 +57,11 @@
         pytest.param(3, 4 << COUNT_BITS, None, id="later-revision-seen"),
     ],
 )
-def test_number_never_passes_a_later_revision(revision, highest_seen, expected):
+def test_fencing_number_never_exceeds_a_later_revision(revision, highest_seen, expected):
     assert next_fencing(revision, highest_seen) == expected
 
 
-def test_engines_that_ignore_numbers_get_harmless_orders_only():
+def test_engines_that_ignore_fencing_get_only_orders_that_are_safe_without_it():
     kinds = {order.kind for order in orders_for(IGNORING, configuration("v1", 2))}
     assert kinds == {OrderKind.LOAD_MODEL}
 
@@ -73,12 +73,12 @@
 
 
 @pytest.mark.parametrize("server", [CHECKING, IGNORING], ids=["checks", "ignores"])
-def test_owner_that_wakes_from_a_freeze_undoes_nothing(server):
-    """The operator sees version 2 served, and it stays so.
+def test_suspended_owner_that_resumes_undoes_nothing(server):
+    """Version 2 stays in service when outdated orders for version 1 arrive last.
 
-    The first owner prepares orders for version 1 and freezes. Another VM takes over, waits, and
-    orders version 2. The first wakes and its old orders arrive last: an engine that checks refuses
-    them, and one that doesn't was never sent an order that could replace anything.
+    The first owner prepares orders for version 1 and is suspended. Another VM becomes owner, waits
+    and orders version 2. The first owner resumes and its outdated orders arrive last: an engine
+    that checks fencing refuses them, and others never get an order that replaces anything.
     """
     engine = EngineOrders(checks_fencing=server.checks_fencing)
     first, second = OrderBook(), OrderBook()
--- a/tests/test_request_ids.py
+++ b/tests/test_request_ids.py
@@ -1,4 +1,4 @@
-"""An issued id runs at most once, whoever is asked and whatever stops in between."""
+"""An issued id runs at most once, at whichever VM it is claimed and whichever VM stops."""
 
 import itertools
 
@@ -26,9 +26,9 @@
 
 
 class IdsRunAtMostOnce(RuleBasedStateMachine):
-    """Ledgers on skewed clocks issue, claim, stop, restart and hand over at any moment.
+    """Ledgers with skewed clocks issue, claim, stop, restart and hand over in any order.
 
-    Every repeat asks all VMs in turn, so an id that any of them would run again is found.
+    Every repeat is claimed at all VMs in turn, which detects an id that any VM would run again.
     """
 
     ids = Bundle("ids")
@@ -40,7 +40,7 @@
         self.now_unix_s = 5_000.0
         self.skew_s = dict(zip(VMS, (-30.0, 0.0, 30.0), strict=True))
         self.ledgers = {vm: self.new_ledger(vm) for vm in VMS}
-        # What truly started, and the ledger that runs it.
+        # The ids that have started, with the ledger at which they run.
         self.started: dict[str, RequestIdLedger] = {}
         self.outcomes: dict[str, Outcome] = {}
 
@@ -72,7 +72,7 @@
         claim = ledger.claim(request_id, account, self.now(vm))
         issuer = parse_issuer(request_id).unwrap()
         if claim.kind is ClaimKind.FRESH:
-            assert request_id not in self.started, "it runs a second time"
+            assert request_id not in self.started, "the id runs a second time"
             self.started[request_id] = ledger
         elif claim.kind is ClaimKind.RUNNING:
             assert self.started[request_id] is ledger
@@ -135,7 +135,7 @@
     return RequestIdLedger("vm-a", 7, b"s" * 32, max_entries=100)
 
 
-def test_id_is_safe_in_urls_and_headers_and_names_its_issuer(ledger):
+def test_id_is_safe_in_urls_and_headers_and_identifies_its_issuer(ledger):
     (request_id,) = ledger.issue("acme", 1, 1_000.0)
     assert all(char.isalnum() or char in "-_." for char in request_id)
     issuer = parse_issuer(request_id).unwrap()
@@ -150,18 +150,18 @@
             assert ledger.claim(changed, "acme", 1_000.0).kind is not ClaimKind.FRESH
 
 
-def test_id_forgotten_at_its_expiry_stays_used_when_the_clock_is_set_back(ledger):
-    # The caller repeats a ping after its id expired; the VM's clock is then set back by an hour.
-    # The entry is gone, so only the latest time seen keeps the ping from running twice.
+def test_id_dropped_at_its_expiry_stays_used_when_the_clock_is_set_back(ledger):
+    # The caller repeats a request after its id expired, and the VM's clock has been set back by an
+    # hour. The entry was dropped, so only the latest time seen prevents a second run.
     (request_id,) = ledger.issue("acme", 1, 10_000.0)
     assert ledger.claim(request_id, "acme", 10_000.0).kind is ClaimKind.FRESH
     assert ledger.expire(10_600.0) == 1
     assert ledger.claim(request_id, "acme", 6_400.0).kind is ClaimKind.EXPIRED
 
 
-def test_id_forgotten_by_the_issuer_stays_used_at_successors_whose_clocks_lag(ledger):
-    # A ping ran at the issuer and expired there. Its successor, then that one's successor, has a
-    # clock an hour behind, by which the id is still good; the repeat must not run there.
+def test_id_dropped_by_the_issuer_stays_used_at_successors_whose_clocks_lag(ledger):
+    # A request ran at the issuer and its id expired there. The clocks of the successor and of that
+    # VM's successor are an hour behind, so the id seems valid there; a repeat must not run.
     (request_id,) = ledger.issue("acme", 1, 10_000.0)
     ledger.claim(request_id, "acme", 10_000.0)
     ledger.expire(10_600.0)
@@ -179,17 +179,17 @@
     assert ledger.claim(text, "acme", 0.0).kind is ClaimKind.FORGED
 
 
-def test_expired_ids_make_room(ledger):
+def test_expired_ids_free_their_entries(ledger):
     ledger.issue("acme", 100, 0.0)
     ledger.expire(600.0)
     assert ledger.free_entries == 100
 
 
-def test_one_account_leaves_room_for_another(ledger):
+def test_one_account_leaves_capacity_for_another(ledger):
     greedy = sum(len(ledger.issue("greedy", 100, 0.0)) for _ in range(10))
     assert greedy <= 50
     assert len(ledger.issue("modest", 10, 0.0)) == 10
 
 
-def test_memory_bound_follows_from_rate_life_and_size():
+def test_memory_bound_follows_from_rate_lifetime_and_size():
     assert memory_bound_bytes(entries_needed(10.0, lifetime_s=600.0), 0) == 6_000 * 768
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries never double a call nor an overload, and refused callers come back in turn."""
+"""Retries never run a call twice or amplify an overload, and refused callers retry in turn."""
 
 from random import Random
 
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize(
-    ("wanted", "run", "attempts", "wait_s", "verdict"),
+    ("wanted", "run", "attempts", "wait_s", "decision"),
     [
         pytest.param(
             PING, RunStatus.UNKNOWN, 1, 0.0, RetryDecision.MAY_HAVE_RUN, id="ping, unknown"
@@ -39,15 +39,15 @@
         ),
     ],
 )
-def test_the_verdict(
-    wanted: object, run: RunStatus, attempts: int, wait_s: float, verdict: RetryDecision
+def test_retry_decision(
+    wanted: object, run: RunStatus, attempts: int, wait_s: float, decision: RetryDecision
 ) -> None:
-    assert decide_retry(wanted, run, attempts, RetryBudget(), wait_s, 1.0) is verdict  # type: ignore[arg-type]
+    assert decide_retry(wanted, run, attempts, RetryBudget(), wait_s, 1.0) is decision  # type: ignore[arg-type]
 
 
 def test_retries_are_a_tenth_of_the_successes_in_an_outage() -> None:
-    # Every second attempt fails for long. Without a budget the retries would double the load of
-    # servers that fail because of it.
+    # Every second attempt fails for a long time. Without a budget the retries would double the load
+    # of servers that fail because of overload.
     budget, retries = RetryBudget(), 0
     for _ in range(1_000):
         budget.observe_success()
@@ -69,9 +69,9 @@
     assert all(104.0 <= at <= 106.0 for at in times)
 
 
-def test_refused_callers_come_back_no_faster_than_the_queue_takes_them() -> None:
-    # An overload refuses 400 callers in a second. Told the same wait they would all come back
-    # together and be refused again.
+def test_refused_callers_retry_no_faster_than_the_queue_serves_them() -> None:
+    # An overload refuses 400 callers in a second. With the same delay they would all retry together
+    # and be refused again.
     schedule, random = RetrySchedule(), Random(1)
     times = sorted(schedule.reserve(2.0, 50.0, number / 400.0, random) for number in range(400))
     per_s = len(times) / (times[-1] - times[0])
@@ -79,7 +79,7 @@
     assert times[0] >= 1.5
 
 
-def test_the_line_is_bounded_and_still_spread() -> None:
+def test_the_schedule_is_bounded_and_still_spread() -> None:
     schedule, random = RetrySchedule(), Random(1)
     times = [schedule.reserve(2.0, 1.0, 0.0, random) for _ in range(1_000)]
     assert max(times) <= MAX_RETRY_AFTER_S
--- a/tests/test_retry_share.py
+++ b/tests/test_retry_share.py
@@ -1,4 +1,4 @@
-"""The repeats of all VMs together stay within the bound."""
+"""The retries of all VMs together stay within the bound."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -13,7 +13,7 @@
     times_s=st.lists(st.floats(0.0, 30.0), max_size=200),
 )
 def test_sum_over_all_vms_stays_within_the_bound(vms: int, times_s: list[float]) -> None:
-    """Every server answer is a failure, and every VM wants to send each request again."""
+    """Every attempt fails, and every VM retries each request."""
     shares = [RetryShare(bound=BOUND) for _ in range(vms)]
     taken: list[float] = []
     for index, now_unix_s in enumerate(sorted(times_s)):
@@ -28,7 +28,7 @@
         assert len(in_window) <= BOUND.ratio * len(firsts) + BOUND.slack
 
 
-def test_window_slides() -> None:
+def test_retries_are_counted_in_a_sliding_window() -> None:
     share = RetryShare(bound=RetryBound(ratio=0.0, slack=2.0, window_s=10.0))
     assert [share.try_take_retry("p", 1, t) for t in (0.0, 1.0, 9.0, 11.0)] == [
         True,
@@ -38,7 +38,7 @@
     ]
 
 
-def test_pools_are_counted_apart() -> None:
+def test_pools_are_counted_separately() -> None:
     share = RetryShare(bound=RetryBound(ratio=0.0, slack=2.0, window_s=10.0))
     assert share.try_take_retry("p", 1, 0.0)
     assert share.try_take_retry("q", 1, 0.0)
--- a/tests/test_server_limit_shares.py
+++ b/tests/test_server_limit_shares.py
@@ -1,4 +1,4 @@
-"""What servers that name a limit get from all VMs together, and how VMs learn of it."""
+"""Servers with a limit get no more than that from all VMs, and VMs exchange limits."""
 
 import math
 from random import Random
@@ -30,7 +30,7 @@
 
 
 def fleet_of(count: int, limit_per_s: float, seen: int | None = None) -> list[ServerLimits]:
-    """Return the views of VMs that have heard of a limit; each may see only some of the others."""
+    """Return the limits at VMs that all know one limit; each VM may see only some of the others."""
     names = [f"vm-{number:03}" for number in range(count)]
     views = []
     for index, name in enumerate(names):
@@ -42,7 +42,7 @@
 
 
 def play(views: list[ServerLimits], demand_per_s: float, for_s: float = 12.0) -> list[float]:
-    """Return when requests were sent, that callers bring to the VMs at random."""
+    """Return when requests were sent, of random arrivals at the VMs."""
     random, sent_unix_s = Random(1), []
     for tick in range(int(for_s / TICK_S)):
         now = tick * TICK_S
@@ -56,7 +56,7 @@
 @settings(deadline=None, max_examples=40)
 @given(st.integers(1, 12), st.floats(0.0, 40.0))
 def test_all_vms_together_keep_to_a_limit(vms: int, limit_per_s: float) -> None:
-    """Each VM of a region has far more requests than the server takes of them all."""
+    """Each VM of a region has far more requests than the server accepts from all VMs."""
     sent = play(fleet_of(vms, limit_per_s), demand_per_s=10.0 * limit_per_s + 50.0)
     assert most_in_window(sent) <= allowed_in_window(limit_per_s)
 
@@ -69,13 +69,13 @@
 
 
 @pytest.mark.parametrize("limit_per_s", [2.0, 7.4, 30.0])
-def test_a_server_gets_most_of_what_it_offers(limit_per_s: float) -> None:
+def test_a_server_gets_most_of_its_limit(limit_per_s: float) -> None:
     sent = play(fleet_of(7, limit_per_s), demand_per_s=60.0, for_s=20.0)
     assert len(sent) / 20.0 >= 0.75 * limit_per_s
 
 
-def test_vms_that_miss_one_of_the_others_keep_to_a_limit() -> None:
-    """Who joins or leaves is seen by some first."""
+def test_vms_that_do_not_see_one_of_the_others_keep_to_a_limit() -> None:
+    """Some VMs learn later than others that a VM has joined or left."""
     sent = play(fleet_of(8, 7.4, seen=7), demand_per_s=60.0)
     assert most_in_window(sent) <= allowed_in_window(7.4)
 
@@ -89,14 +89,14 @@
     assert seen == [4.0, 20.0, 1.0, math.inf]
 
 
-def test_older_word_of_a_peer_changes_nothing() -> None:
+def test_older_update_of_a_peer_changes_nothing() -> None:
     limits = ServerLimits(own_vm="vm-0")
     assert limits.observe(SERVER.incarnation, 4.0, 10.0)
     assert not limits.observe(SERVER.incarnation, None, 9.0)
     assert limits.limit_per_s(SERVER) == 4.0
 
 
-def test_limit_that_fell_from_high_to_low_holds_at_once() -> None:
+def test_limit_that_drops_from_high_to_low_applies_immediately() -> None:
     limits = ServerLimits(own_vm="vm-0")
     limits.observe(SERVER.incarnation, 1_000.0, 0.0)
     assert limits.allows(SERVER, 0.0)
@@ -113,13 +113,13 @@
     return True
 
 
-def test_server_that_takes_nothing_is_asked_now_and_then() -> None:
-    """Nobody sent there any more, and nobody learned that the limit had ended."""
+def test_server_with_a_limit_of_zero_still_gets_occasional_requests() -> None:
+    """No VM sent requests there any more, so no VM could detect that the limit had ended."""
     sent = play(fleet_of(7, 0.0), demand_per_s=100.0, for_s=30.0)
     assert 2 <= len(sent) <= 30.0 * MIN_LIMIT_PER_S + 1
 
 
-def test_server_that_starts_again_has_no_limit() -> None:
+def test_restarted_server_has_no_limit() -> None:
     table = table_of(1)
     table.limits.observe(SERVER.incarnation, 1.0, 0.0)
     again = evolve(SERVER, born_unix_ms=5)
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "x", "-1", "nan", "inf", "1e9", "1,5", "0x10", "1.", ".5"])
-def test_limit_that_cannot_be_read_is_none(text: str) -> None:
+def test_malformed_limit_is_none(text: str) -> None:
     assert parse_limit(text) is None
 
 
@@ -137,7 +137,7 @@
     assert parse_limit(text) == per_s
 
 
-def test_work_goes_past_a_limited_server_to_another_one() -> None:
+def test_work_is_placed_on_another_server_when_one_is_at_its_limit() -> None:
     table = table_of(2)
     table.limits.observe(SERVER.incarnation, 0.5, 0.0)
     chosen = []
@@ -149,10 +149,10 @@
     assert chosen.count("s1") <= 1
 
 
-def test_neighbour_hears_of_a_limit_and_of_its_end_with_a_heartbeat() -> None:
-    """A VM that had no answer of the server itself went on sending."""
+def test_neighbour_receives_a_limit_and_its_end_with_a_heartbeat() -> None:
+    """A VM that got no answer from the server itself continued to send requests."""
     sender, receiver = table_of(1), table_of(1)
-    news = [_news_of(table) for table in (sender, receiver)]
+    news = [_updates_of(table) for table in (sender, receiver)]
     sent = SentServers()
     for at, per_s in ((1.0, 2.0), (2.0, None)):
         sender.limits.observe(SERVER.incarnation, per_s, at)
@@ -166,7 +166,7 @@
     assert list(heartbeat.limits) == []
 
 
-def _news_of(table: object) -> ServerNews:
+def _updates_of(table: object) -> ServerNews:
     return ServerNews(
         table=table,  # type: ignore[arg-type]
         servers=lambda: {SERVER.name: SERVER},
--- a/tests/test_server_limits.py
+++ b/tests/test_server_limits.py
@@ -1,4 +1,4 @@
-"""Servers that name the requests a second that they take from all VMs together."""
+"""Servers that announce a request rate limit for all VMs together."""
 
 import asyncio
 from typing import Any
@@ -27,8 +27,8 @@
     return [answer.status for answer in answers]
 
 
-async def test_server_that_names_a_limit_gets_no_more_than_that() -> None:
-    """It said with each answer how little it takes, and got every request all the same."""
+async def test_server_that_announces_a_limit_gets_no_more_than_that() -> None:
+    """A server announced a low limit with each answer but still got every request."""
     async with relay_fleet(
         ROUTES, {"a": {"s1": names_limit("0.5"), "s2": names_limit("")}}
     ) as fleet:
@@ -39,7 +39,7 @@
 
 
 async def test_request_waits_for_a_limited_server_while_it_can_be_in_time() -> None:
-    """The only server takes a few requests a second, and callers come three at a time."""
+    """The only server accepts a few requests per second, and three requests arrive together."""
     patient = route(RouteKind.IDEMPOTENT, first_answer_target_s=8.0, timeout_s=9.0)
     async with relay_fleet((patient,), {"a": {"s1": names_limit("8")}}) as fleet:
         vm = fleet.vms["a"]
@@ -57,10 +57,10 @@
     assert [answer.status for answer in answers] == [200] * 3
 
 
-async def test_request_that_a_limit_makes_late_is_refused_at_once_with_a_time() -> None:
+async def test_request_that_a_limit_makes_late_is_refused_immediately_with_a_retry_time() -> None:
     async with relay_fleet(ROUTES, {"a": {"s1": names_limit("0.2")}}) as fleet:
         vm = fleet.vms["a"]
-        # The first answer names the limit, and the first request after it is within that.
+        # The first answer announces the limit, and the next request is within it.
         assert await _ask_many(vm, 2) == [200, 200]
         answer = await ask(vm, "/idempotent/x", headers={"Pomelobarrow-Request-Id": "late"})
         arrived = len(fleet.servers["s1"].received)
@@ -68,7 +68,7 @@
     assert 0.0 < float(answer.headers["Retry-After"]) <= 3.0
 
 
-async def test_limit_named_by_a_failure_counts() -> None:
+async def test_limit_announced_with_a_failure_is_observed() -> None:
     async def fails(exchange: Exchange) -> None:
         exchange.write_head(500, Server_Limit="0.5", Content_Length="0")
 
--- a/tests/test_stream_admission.py
+++ b/tests/test_stream_admission.py
@@ -1,4 +1,4 @@
-"""Late work is refused at once, and callers come back in turn."""
+"""Streams that would be late are refused immediately, and callers retry in turn."""
 
 from random import Random
 
@@ -20,7 +20,7 @@
 RESUBMITTED = evolve(EXPECTATIONS, is_resubmission=True)
 
 
-def test_long_prompt_that_may_be_on_time_is_taken() -> None:
+def test_long_prompt_that_may_be_on_time_is_admitted() -> None:
     assert is_worth_taking(EXPECTATIONS, 0.7, NOW)
 
 
@@ -29,13 +29,13 @@
     assert not is_worth_taking(EXPECTATIONS, 0.7, NOW + 0.4)
 
 
-def test_short_prompt_is_taken_until_its_caller_would_leave() -> None:
+def test_short_prompt_is_admitted_until_its_caller_would_abandon_it() -> None:
     short = evolve(EXPECTATIONS, is_long=False)
     assert is_worth_taking(short, 2.0, NOW)
     assert not is_worth_taking(short, 3.0, NOW)
 
 
-def test_caller_that_came_back_is_taken_until_it_would_leave() -> None:
+def test_resubmitted_prompt_is_admitted_until_its_caller_would_abandon_it() -> None:
     assert is_worth_taking(RESUBMITTED, 2.0, NOW)
     assert not is_worth_taking(RESUBMITTED, 3.0, NOW)
 
@@ -46,7 +46,7 @@
     left_s=st.floats(0.5, 30.0),
     seed=st.integers(),
 )
-def test_callers_are_never_told_a_time_that_they_do_not_heed(
+def test_retry_time_never_exceeds_what_callers_accept(
     wait_s: float, taken_per_s: float, left_s: float, seed: int
 ) -> None:
     schedule, random = RetrySchedule(), Random(seed)
@@ -55,11 +55,11 @@
         assert NOW + 0.149 <= at <= NOW + max(0.15, left_s / 3.0)
 
 
-def test_refused_in_a_burst_callers_come_back_spread_out() -> None:
-    """A hundred callers are refused within a moment by servers that take ten a second.
+def test_callers_refused_in_a_burst_retry_spread_out() -> None:
+    """A hundred callers are refused at the same time by servers that serve ten per second.
 
-    Told the same time, they would all come back together, be refused again and be lost, as a
-    client comes back once.
+    With the same retry time they would all retry together, be refused again and be lost, as a
+    client retries only once.
     """
     schedule, random = RetrySchedule(), Random(1)
     times = [retry_at_unix_s(schedule, 1.0, 10.0, NOW + 15.0, NOW, random) for _ in range(100)]
@@ -68,8 +68,8 @@
     assert max(times) - min(times) > 3.0
 
 
-def test_pool_without_servers_does_not_put_off_those_who_come_next() -> None:
-    """One caller is refused where no server is known, and others once there is a short queue."""
+def test_refusal_without_servers_does_not_delay_later_callers() -> None:
+    """One caller is refused while no server is known, the next one when the queue is short."""
     schedule, random = RetrySchedule(), Random(1)
     retry_at_unix_s(schedule, 900.0, 10.0, NOW + 2.0, NOW, random)
     assert retry_at_unix_s(schedule, 0.5, 10.0, NOW + 15.0, NOW, random) < NOW + 2.0
--- a/tests/test_work_queue.py
+++ b/tests/test_work_queue.py
@@ -1,4 +1,4 @@
-"""Paying work goes before trial work, and inside a rank what is due first."""
+"""Paying work is served before trial work, and within a rank by due time."""
 
 import hypothesis.strategies as st
 import pytest
@@ -21,21 +21,21 @@
     return WorkQueue(POOL)
 
 
-def test_paying_work_passes_trial_work(queue: WorkQueue) -> None:
+def test_paying_work_overtakes_trial_work(queue: WorkQueue) -> None:
     queue.push(trial("t1"), 0.0)
     queue.push(work("p1"), 0.5)
     assert [pop(queue), pop(queue), pop(queue)] == ["p1", "t1", None]
 
 
-def test_the_nearer_target_goes_first(queue: WorkQueue) -> None:
+def test_the_earlier_target_is_served_first(queue: WorkQueue) -> None:
     queue.push(work("draft", first_token_due_unix_s=30.0), 0.0)
     queue.push(work("query", first_token_due_unix_s=4.0), 0.5)
     assert [pop(queue), pop(queue)] == ["query", "draft"]
 
 
-def test_work_past_its_target_gives_way_until_its_deadline_nears(queue: WorkQueue) -> None:
-    # One request is late. Taken first for that, it would make the next ones late as well; waiting
-    # behind all of them for good, it would be lost.
+def test_work_past_its_target_is_ordered_by_its_deadline(queue: WorkQueue) -> None:
+    # A late request served first would make the next ones late as well. If it were always
+    # served last, it would miss its deadline.
     queue.push(work("late", first_token_due_unix_s=2.0, deadline_unix_s=40.0), 0.0)
     queue.push(work("in time", accepted_unix_s=5.0, first_token_due_unix_s=15.0), 5.0)
     queue.push(work("far", accepted_unix_s=5.0, first_token_due_unix_s=200.0), 5.0)
@@ -50,13 +50,13 @@
     assert pop(queue, 1.7) == "t1"
 
 
-def test_a_silent_peer_holds_trial_work_back_for_two_seconds_only(queue: WorkQueue) -> None:
+def test_a_silent_peer_delays_trial_work_for_two_seconds_only(queue: WorkQueue) -> None:
     queue.push(trial("t1"), 0.0)
     queue.observe_peer_waiting("vm-2", 1, 1.0)
     assert pop(queue, 3.1) == "t1"
 
 
-def test_work_that_finds_no_room_is_skipped_a_few_times(queue: WorkQueue) -> None:
+def test_number_of_skipped_requests_is_bounded(queue: WorkQueue) -> None:
     asked: list[str] = []
 
     def may_take(wanted: Work) -> bool:
@@ -69,7 +69,7 @@
     assert len(asked) == MAX_SKIPPED + 1
 
 
-def test_work_that_can_no_longer_finish_is_taken_out(queue: WorkQueue) -> None:
+def test_work_that_can_no_longer_finish_is_removed(queue: WorkQueue) -> None:
     queue.push(work("short", deadline_unix_s=10.0), 0.0)
     queue.push(work("long", deadline_unix_s=60.0), 0.0)
     late = queue.expired(8.0, lambda _: 3.0)
@@ -77,14 +77,14 @@
     assert queue.waiting(Rank.PAYING) == 1
 
 
-def test_the_bound_of_a_rank_is_reached(queue: WorkQueue) -> None:
+def test_a_rank_with_maximum_waiting_work_is_full(queue: WorkQueue) -> None:
     for number in range(MAX_WAITING[Rank.TRIAL]):
         queue.push(trial(f"t{number}"), 0.0)
     assert queue.is_full(Rank.TRIAL)
     assert not queue.is_full(Rank.PAYING)
 
 
-def test_the_expected_wait_counts_what_goes_before(queue: WorkQueue) -> None:
+def test_the_expected_wait_counts_the_work_ahead(queue: WorkQueue) -> None:
     queue.push(work("p1", first_token_due_unix_s=5.0), 0.0)
     queue.push(work("p2", first_token_due_unix_s=50.0), 0.0)
     queue.observe_peer_waiting("vm-2", 3, 0.0, trial=4)
@@ -92,7 +92,7 @@
     assert queue.expected_wait_s(trial("new"), 2.0, 1.0) == pytest.approx((2 + 3 + 4) / 2.0)
 
 
-def test_the_pace_is_learned_from_waits_that_came_true(queue: WorkQueue) -> None:
+def test_the_wait_per_request_ahead_is_measured_from_observed_waits(queue: WorkQueue) -> None:
     for number in range(5):
         queue.push(work(f"p{number}"), 0.0)
     for number in range(5):
@@ -102,7 +102,7 @@
 
 
 class QueueMachine(RuleBasedStateMachine):
-    """Push, take, give up and expire in any order beside a plain list."""
+    """Push, take, abandon and expire work in any order and compare with a plain dictionary."""
 
     def __init__(self) -> None:
         super().__init__()
