--- a/tests/test_server_limit_shares.py
+++ b/tests/test_server_limit_shares.py
@@ -152,17 +152,17 @@
 def test_neighbour_receives_a_limit_and_its_end_with_a_heartbeat() -> None:
     """A VM that got no answer from the server itself continued to send requests."""
     sender, receiver = table_of(1), table_of(1)
-    news = [_updates_of(table) for table in (sender, receiver)]
+    updates = [_updates_of(table) for table in (sender, receiver)]
     sent = SentServers()
     for at, per_s in ((1.0, 2.0), (2.0, None)):
         sender.limits.observe(SERVER.incarnation, per_s, at)
         heartbeat = pb.Heartbeat(vm="vm-0")
-        news[0].write(heartbeat, sent, LinkKind.COLUMN, at + 0.5)
-        news[1].take(heartbeat, LinkKind.COLUMN, at + 0.5, at + 0.5)
+        updates[0].write(heartbeat, sent, LinkKind.COLUMN, at + 0.5)
+        updates[1].take(heartbeat, LinkKind.COLUMN, at + 0.5, at + 0.5)
         expected = math.inf if per_s is None else per_s
         assert receiver.limits.limit_per_s(SERVER) == pytest.approx(expected)
     heartbeat = pb.Heartbeat(vm="vm-0")
-    news[0].write(heartbeat, sent, LinkKind.COLUMN, 3.5)
+    updates[0].write(heartbeat, sent, LinkKind.COLUMN, 3.5)
     assert list(heartbeat.limits) == []
 
 
