--- a/src/pomelobarrow/backends/engine.py
+++ b/src/pomelobarrow/backends/engine.py
@@ -20,7 +20,7 @@
     AttemptResult,
     CallerGoneError,
 )
-from pomelobarrow.dispatch.background import wait_briefly
+from pomelobarrow.dispatch.background import wait_or_detach
 from pomelobarrow.dispatch.request import GatewayRequest
 from pomelobarrow.kernel.clock import now_unix_s
 
@@ -89,7 +89,7 @@
         drops what nobody reads for 30 s and sees every reader, which no single VM does.
         """
         is_begun = self.is_rest or (self.head_passed and self.request.is_streamed)
-        return is_begun and self.request.is_reader_lost()
+        return is_begun and self.request.is_link_lost()
 
     async def _send_and_relay(self) -> AttemptResult:
         try:
@@ -179,7 +179,7 @@
 
     async def _give_up(self, reason: str, within_s: float = CANCEL_TIMEOUT_S) -> AttemptResult:
         """End the attempt; only the engine's word that it never began makes it "not run"."""
-        outcome = await wait_briefly(self._cancel(), within_s, UNKNOWN)
+        outcome = await wait_or_detach(self._cancel(), within_s, UNKNOWN)
         if outcome == NOT_RUN and self.attempt.state is AttemptState.SENT:
             self.attempt.apply(AttemptEvent.CONFIRM_CANCELLED_UNRUN)
             return self._result(f"{reason}; cancelled before it ran")
--- a/src/pomelobarrow/backends/plugin.py
+++ b/src/pomelobarrow/backends/plugin.py
@@ -21,9 +21,9 @@
 from pomelobarrow.decision.orders import OrderBook
 from pomelobarrow.decision.server_limits import ServerLimits, parse_limit
 from pomelobarrow.decision.work import BackendServer, Placement
+from pomelobarrow.dispatch.advertised_limits import record_advertised_limit
 from pomelobarrow.dispatch.answers import AnswerSink, AttemptResult
 from pomelobarrow.dispatch.local import AttemptRunner, LocalDispatch
-from pomelobarrow.dispatch.named_limits import note_named_limit
 from pomelobarrow.dispatch.request import GatewayRequest
 from pomelobarrow.dispatch.resumed import RestFetcher
 from pomelobarrow.kernel.clock import now_unix_s
@@ -131,7 +131,7 @@
 def _note_limit(context: Context, server: BackendServer, headers: Mapping[str, str]) -> None:
     per_s = parse_limit(headers.get(SERVER_LIMIT_HEADER, ""))
     table = context.get(LoadTable)
-    note_named_limit(table, server, per_s, SERVER_LIMIT_HEADER, context.observe)
+    record_advertised_limit(table, server, per_s, SERVER_LIMIT_HEADER, context.observe)
 
 
 def _fetcher(context: Context) -> RestFetcher:
@@ -183,7 +183,7 @@
         servers=lambda: _reporting_servers(context),
         live_vms=lambda: _live_vms(context),
         is_engine=lambda server: _is_engine(context, server),
-        on_report=lambda pool: context.get(LocalDispatch).pump(pool),
+        on_report=lambda pool: context.get(LocalDispatch).place_waiting(pool),
     )
 
 
--- a/src/pomelobarrow/callers/plugin.py
+++ b/src/pomelobarrow/callers/plugin.py
@@ -118,7 +118,7 @@
         observe=context.observe,
         is_draining=lambda: context.is_draining,
         not_ready_reason=not_ready_reason,
-        expected_output_tokens=context.get(LocalDispatch).outputs.expected_tokens,
+        expected_output_tokens=context.get(LocalDispatch).output_estimate.expected_tokens,
     )
 
 
--- a/src/pomelobarrow/callers/sinks.py
+++ b/src/pomelobarrow/callers/sinks.py
@@ -76,7 +76,7 @@
         except (ConnectionError, RuntimeError) as error:
             raise CallerGoneError("the caller closed its connection") from error
 
-    async def broken(self, refusal: Refusal) -> None:
+    async def abort(self, refusal: Refusal) -> None:
         """Say that the answer stops short, then close the connection without an end mark.
 
         A closed connection alone reads as a whole answer to a lenient client, and an error event
--- a/src/pomelobarrow/dispatch/named_limits.py
+++ b/src/pomelobarrow/dispatch/advertised_limits.py
@@ -8,7 +8,7 @@
 from pomelobarrow.kernel.clock import now_unix_s
 
 
-def note_named_limit(
+def record_advertised_limit(
     table: LoadTable,
     server: BackendServer,
     per_s: float | None,
--- a/src/pomelobarrow/dispatch/answers.py
+++ b/src/pomelobarrow/dispatch/answers.py
@@ -39,7 +39,7 @@
     async def end(self) -> None:
         """Take note that the answer is whole."""
 
-    async def broken(self, refusal: Refusal) -> None:
+    async def abort(self, refusal: Refusal) -> None:
         """Take note that the answer stops short and must not look complete."""
 
 
--- a/src/pomelobarrow/dispatch/background.py
+++ b/src/pomelobarrow/dispatch/background.py
@@ -10,7 +10,7 @@
 _unwaited: set["asyncio.Task[Any]"] = set()
 
 
-async def wait_briefly(
+async def wait_or_detach(
     work: Coroutine[Any, Any, Result], timeout_s: float, otherwise: Result
 ) -> Result:
     """Return what the work comes to, or a value for now while the work goes on to its end."""
--- a/src/pomelobarrow/dispatch/claims.py
+++ b/src/pomelobarrow/dispatch/claims.py
@@ -161,7 +161,7 @@
             return result.refusal
         refusal = self._issuer_gone(result.detail)
         if result.head_passed:
-            await sink.broken(refusal)
+            await sink.abort(refusal)
         elif result.state is AttemptState.REFUSED_UNRUN:
             return self._issuer_gone("the issuer did not take it")
         return refusal
--- a/src/pomelobarrow/dispatch/dispatcher.py
+++ b/src/pomelobarrow/dispatch/dispatcher.py
@@ -252,7 +252,7 @@
 
     async def _break_off(self, sink: AnswerSink, result: AttemptResult) -> Refusal:
         refusal = refuse(Kind.OUTCOME_UNKNOWN, Run.UNKNOWN, result.detail)
-        await sink.broken(refusal)
+        await sink.abort(refusal)
         return refusal
 
     def _budget(self, work: Work) -> RetryBudget:
--- a/src/pomelobarrow/dispatch/local.py
+++ b/src/pomelobarrow/dispatch/local.py
@@ -54,7 +54,7 @@
     observe: Callable[[object], None]
     guard: CrashGuard = field(factory=CrashGuard)
     choose: ServerChooser = choose_server
-    outputs: OutputEstimate = field(factory=OutputEstimate)
+    output_estimate: OutputEstimate = field(factory=OutputEstimate)
     rng: Random = field(factory=Random)
     queues: dict[str, WorkQueue] = field(factory=dict)
     _waiters: dict[str, Waiter] = field(factory=dict)
@@ -89,11 +89,11 @@
             )
         finally:
             self.table.release(wanted.request_id, now_unix_s())
-            self.pump(work.pool)
+            self.place_waiting(work.pool)
         self._judge_server(result)
         await self._note_whether_ended(request, placement, result)
         if result.is_finished and result.output_tokens:
-            self.outputs.observe(work.class_name, result.output_tokens)
+            self.output_estimate.observe(work.class_name, result.output_tokens)
         self.observe(
             AttemptEnded(
                 work.request_id, work.class_name, server.name, result.state.value, result.detail
@@ -162,7 +162,7 @@
         if refusal is not None:
             raise RefusedError(refusal)
 
-    def pump(self, pool: str) -> None:
+    def place_waiting(self, pool: str) -> None:
         """Place as much waiting work as has room now."""
         queue = self.queue(pool)
         now = now_unix_s()
@@ -182,7 +182,7 @@
             for work in queue.expired(now, self._least_service_s):
                 self._refuse_expired(work)
             if self._waiters:
-                self.pump(pool)
+                self.place_waiting(pool)
 
     def _least_service_s(self, work: Work) -> float:
         """Return the seconds that work needs once it is placed, or it is refused as too late.
@@ -225,7 +225,7 @@
         self._waiters[work.request_id] = waiter
         self._has_waiting.set()
         self.queue(work.pool).push(work, now_unix_s())
-        self.pump(work.pool)
+        self.place_waiting(work.pool)
         try:
             return await placed
         except asyncio.CancelledError:
@@ -238,7 +238,7 @@
         self.queue(work.pool).remove(work.request_id)
         if placed.done() and not placed.cancelled():
             self.table.release(work.request_id, now_unix_s())
-            self.pump(work.pool)
+            self.place_waiting(work.pool)
 
     def _refuse_expired(self, work: Work) -> None:
         waiter = self._waiters.pop(work.request_id, None)
--- a/src/pomelobarrow/dispatch/recording.py
+++ b/src/pomelobarrow/dispatch/recording.py
@@ -48,10 +48,10 @@
         if self._sink is not None:
             await self._passing(self._sink.end())
 
-    async def broken(self, refusal: Refusal) -> None:
+    async def abort(self, refusal: Refusal) -> None:
         """Pass on."""
         if self._sink is not None:
-            await self._passing(self._sink.broken(refusal))
+            await self._passing(self._sink.abort(refusal))
 
     async def _passing(self, step: Coroutine[None, None, None]) -> None:
         try:
--- a/src/pomelobarrow/dispatch/request.py
+++ b/src/pomelobarrow/dispatch/request.py
@@ -38,7 +38,7 @@
     forwarded_by: str | None = None
     # Asked when the reader has gone: True where it may fetch the rest of a stream through another
     # VM, so that the backend server must not be told to cancel.
-    is_reader_lost: Callable[[], bool] = field(default=lambda: False, eq=False)
+    is_link_lost: Callable[[], bool] = field(default=lambda: False, eq=False)
     # Filled in as attempts start, so that whoever cancels can say whether any may have run.
     attempts: list[Attempt] = field(factory=list, eq=False)
 
--- a/src/pomelobarrow/dispatch/resumed.py
+++ b/src/pomelobarrow/dispatch/resumed.py
@@ -36,5 +36,5 @@
             return None
         refusal = refuse(Kind.OUTCOME_UNKNOWN, Run.UNKNOWN, result.detail)
         if result.head_passed:
-            await sink.broken(refusal)
+            await sink.abort(refusal)
         return refusal
--- a/src/pomelobarrow/operators/plugin.py
+++ b/src/pomelobarrow/operators/plugin.py
@@ -27,10 +27,10 @@
     DirectoryChanged,
     RelayAttemptEnded,
     RelayEnded,
+    RelayNotPlaced,
     RelayPlaced,
-    RelayPlacedNowhere,
-    ServerBack,
     ServerEjected,
+    ServerReadmitted,
 )
 
 log = structlog.get_logger(__name__)
@@ -53,14 +53,14 @@
             PlatformReachable: self._platform_reachable,
             PauseNoticed: self._pause_noticed,
             RelayPlaced: self._relay_placed,
-            RelayPlacedNowhere: self._relay_placed_nowhere,
+            RelayNotPlaced: self._relay_placed_nowhere,
             RelayAttemptEnded: self._relay_attempt_ended,
             RelayEnded: self._relay_ended,
             ServerEjected: self._server_ejected,
             ServerLimitNamed: self._server_limit_named,
             ServerEnded: self._server_ended,
             RequestBlocked: self._request_blocked,
-            ServerBack: self._server_back,
+            ServerReadmitted: self._server_back,
             PeerRefused: self._peer_refused,
             MemberJudged: self._member_judged,
             DirectoryChanged: self._directory_changed,
@@ -140,7 +140,7 @@
     def _relay_placed(self, event: RelayPlaced) -> None:
         self._log.info("relay placed", **asdict(event))
 
-    def _relay_placed_nowhere(self, event: RelayPlacedNowhere) -> None:
+    def _relay_placed_nowhere(self, event: RelayNotPlaced) -> None:
         self._log.warning("relay placed nowhere", **asdict(event))
 
     def _relay_attempt_ended(self, event: RelayAttemptEnded) -> None:
@@ -169,7 +169,7 @@
     def _server_limit_named(self, event: ServerLimitNamed) -> None:
         self._log.info("server limit named", **asdict(event))
 
-    def _server_back(self, event: ServerBack) -> None:
+    def _server_back(self, event: ServerReadmitted) -> None:
         self._log.info("server back", **asdict(event))
 
     def _pause_noticed(self, event: PauseNoticed) -> None:
--- a/src/pomelobarrow/peers/forward_client.py
+++ b/src/pomelobarrow/peers/forward_client.py
@@ -16,7 +16,7 @@
 from pomelobarrow.decision.region_choice import RegionLoad
 from pomelobarrow.decision.work import Work
 from pomelobarrow.dispatch.answers import AnswerHead, AnswerSink, AttemptResult, CallerGoneError
-from pomelobarrow.dispatch.background import wait_briefly
+from pomelobarrow.dispatch.background import wait_or_detach
 from pomelobarrow.dispatch.refusals import refuse
 from pomelobarrow.dispatch.request import GatewayRequest
 from pomelobarrow.kernel.clock import now_unix_s
@@ -203,7 +203,7 @@
         if self.attempt.state is AttemptState.NOT_SENT:
             return self._result(detail)
         self.attempt.apply(AttemptEvent.LOSE)
-        outcome = await wait_briefly(self.cancel(), within_s, "unknown")
+        outcome = await wait_or_detach(self.cancel(), within_s, "unknown")
         if outcome == "not_run" and not self.head_passed:
             self.attempt.apply(AttemptEvent.CONFIRM_CANCELLED_UNRUN)
         return self._result(detail)
--- a/src/pomelobarrow/peers/forward_resume.py
+++ b/src/pomelobarrow/peers/forward_resume.py
@@ -10,7 +10,7 @@
 from pomelobarrow.decision.member import Member
 from pomelobarrow.decision.membership import MembershipView
 from pomelobarrow.dispatch.answers import END_EVENT, SERVER_SENT_EVENTS, AnswerSink
-from pomelobarrow.dispatch.background import wait_briefly
+from pomelobarrow.dispatch.background import wait_or_detach
 from pomelobarrow.kernel.clock import now_unix_s
 from pomelobarrow.operators.traces import Traces
 from pomelobarrow.peers import peers_pb2 as pb
@@ -128,7 +128,7 @@
             deadline_unix_s=self.message.deadline_unix_s,
             keeps_work=True,
         )
-        await wait_briefly(cancel_forward(link, self.keys, message), 0.0, "")
+        await wait_or_detach(cancel_forward(link, self.keys, message), 0.0, "")
 
     async def _relay(self, channel: Channel) -> bool:
         metadata = self.keys.metadata(self.own.vm, RESUME_PATH)
--- a/src/pomelobarrow/peers/forward_server.py
+++ b/src/pomelobarrow/peers/forward_server.py
@@ -51,7 +51,7 @@
         """Say that the answer is whole."""
         await self.send(pb.ForwardEvent(end=pb.End(complete=True)))
 
-    async def broken(self, refusal: Refusal) -> None:
+    async def abort(self, refusal: Refusal) -> None:
         """Say that the answer stops short."""
         await self.send(pb.ForwardEvent(end=pb.End(complete=False, detail=refusal.detail)))
 
@@ -147,7 +147,7 @@
         request = self._request(message, vm)
         if isinstance(request, Refusal):
             return request
-        request = evolve(request, is_reader_lost=sink.is_lost)
+        request = evolve(request, is_link_lost=sink.is_lost)
         answer = self.entry.dispatch_forwarded(request, sink)
         try:
             return await self._answer(key, request, sink, answer)
@@ -165,7 +165,7 @@
         request = self._request(message.request, vm)
         if isinstance(request, Refusal):
             return request
-        request = evolve(request, is_reader_lost=sink.is_lost)
+        request = evolve(request, is_link_lost=sink.is_lost)
         key = ForwardKey(vm, message.request.forwarded_by_incarnation, message.request.serial)
         answer = self.entry.resume_forwarded(request, message.server, message.from_event, sink)
         return await self._answer(key, request, sink, answer)
--- a/src/pomelobarrow/platform/wire.py
+++ b/src/pomelobarrow/platform/wire.py
@@ -17,7 +17,7 @@
     ServerAnswerHead,
     ServerCounts,
 )
-from pomelobarrow.relay.wire import DirectoryQuery, RelayWire, ServerOrder
+from pomelobarrow.relay.wire import DirectoryQuery, RelayWire, ServerCallOptions
 
 READINESS_PATH = "/readiness"
 DIRECTORY_PATH = "/resolution"
@@ -108,7 +108,7 @@
             RequestHead(
                 request_id=request_id,
                 headers=_going_on(headers),
-                patience_s=float(time_left_ms) / MS_PER_S if time_left_ms else None,
+                time_limit_s=float(time_left_ms) / MS_PER_S if time_left_ms else None,
                 model=headers.get(MODEL),
                 prompt_tokens=int(prompt_tokens),
                 max_output_tokens=int(output_tokens or 0),
@@ -120,7 +120,7 @@
         return Err(f"a header's number can't be read: {error}")
 
 
-def server_headers(request: RelayRequest, order: ServerOrder) -> Headers:
+def server_headers(request: RelayRequest, order: ServerCallOptions) -> Headers:
     """Return the headers for a backend server."""
     addressed = (
         (TARGET_SERVER, order.server),
--- a/src/pomelobarrow/relay/events.py
+++ b/src/pomelobarrow/relay/events.py
@@ -32,7 +32,7 @@
 
 
 @frozen(kw_only=True)
-class RelayPlacedNowhere:
+class RelayNotPlaced:
     """Report that nobody may get a request now, and what that was decided on."""
 
     request_id: str
@@ -81,7 +81,7 @@
 
 
 @frozen(kw_only=True)
-class ServerBack:
+class ServerReadmitted:
     """Report that a server that was ejected has answered."""
 
     server: str
--- a/src/pomelobarrow/relay/front.py
+++ b/src/pomelobarrow/relay/front.py
@@ -124,9 +124,9 @@
         )
 
     def _work(self, head: RequestHead, route: Route, accepted_unix_s: float) -> Work:
-        patience_s = route.timeout_s
-        if head.patience_s is not None:
-            patience_s = min(head.patience_s, patience_s)
+        time_limit_s = route.timeout_s
+        if head.time_limit_s is not None:
+            time_limit_s = min(head.time_limit_s, time_limit_s)
         return Work(
             request_id=head.request_id,
             class_name=route.name,
@@ -143,7 +143,7 @@
             shared_tokens=head.shared_tokens,
             accepted_unix_s=accepted_unix_s,
             first_token_due_unix_s=accepted_unix_s + route.first_answer_target_s,
-            deadline_unix_s=accepted_unix_s + patience_s,
+            deadline_unix_s=accepted_unix_s + time_limit_s,
             gap_target_s=route.gap_target_s if route.is_stream else 0.0,
         )
 
--- a/src/pomelobarrow/relay/judging.py
+++ b/src/pomelobarrow/relay/health_monitor.py
@@ -8,7 +8,7 @@
 from pomelobarrow.decision.outliers import OutlierDetector
 from pomelobarrow.decision.work import BackendServer
 from pomelobarrow.kernel.clock import now_unix_s
-from pomelobarrow.relay.events import ServerBack, ServerEjected
+from pomelobarrow.relay.events import ServerEjected, ServerReadmitted
 from pomelobarrow.relay.messages import AttemptEnd, AttemptReport
 from pomelobarrow.relay.next_step import FIRST_SERVER_ERROR_STATUS
 
@@ -26,7 +26,7 @@
 
 
 @define(kw_only=True)
-class ServerJudge:
+class ServerHealthMonitor:
     """Hold which servers were left out and how each compares with the others."""
 
     table: LoadTable
@@ -34,7 +34,7 @@
     outliers: OutlierDetector = field(factory=OutlierDetector)
     _ejected: set[str] = field(factory=set, init=False)
 
-    def judge(
+    def monitor(
         self,
         server: BackendServer,
         report: AttemptReport,
@@ -61,7 +61,7 @@
             server.name, now_unix_s
         ):
             self._ejected.discard(server.incarnation)
-            self.observe(ServerBack(server=server.name, pool=server.pool))
+            self.observe(ServerReadmitted(server=server.name, pool=server.pool))
 
     def _eject_outlier(self, server: BackendServer, detail: str, now_unix_s: float) -> None:
         names = (each.incarnation for each in self.table.pool_servers(server.pool))
@@ -88,7 +88,7 @@
         usual_s = self._usual_s.setdefault(route, took_s)
         self._usual_s[route] = usual_s + FIRST_ANSWER_WEIGHT * (took_s - usual_s)
 
-    def patience_s(self, route: str, expected_wait_s: float) -> float:
+    def time_limit_s(self, route: str, expected_wait_s: float) -> float:
         """Return within what time a server should have begun to answer."""
         usual_s = max(PATIENCE_FLOOR_S, PATIENCE_FACTOR * self._usual_s.get(route, 0.0))
         return usual_s + QUEUE_FACTOR * expected_wait_s
--- a/src/pomelobarrow/relay/messages.py
+++ b/src/pomelobarrow/relay/messages.py
@@ -28,7 +28,7 @@
     request_id: str
     headers: Headers
     # What the client is ready to wait; None where it doesn't say.
-    patience_s: float | None = None
+    time_limit_s: float | None = None
     model: str | None = None
     prompt_tokens: int = 0
     max_output_tokens: int = 0
--- a/src/pomelobarrow/relay/plugin.py
+++ b/src/pomelobarrow/relay/plugin.py
@@ -20,7 +20,7 @@
 from pomelobarrow.published.keyspaces import VMS, PublishedState
 from pomelobarrow.relay.directory import GOOD_FOR_S, RelayDirectory
 from pomelobarrow.relay.front import RelayFront
-from pomelobarrow.relay.judging import ServerJudge
+from pomelobarrow.relay.health_monitor import ServerHealthMonitor
 from pomelobarrow.relay.listeners import Listener, RelayListeners
 from pomelobarrow.relay.planned_stop import PlannedStop
 from pomelobarrow.relay.relay import Relay
@@ -121,7 +121,7 @@
         sessions=context.get(BackendSessions),
         wire=context.get(RelayWire),
         retries=RetryShare(bound=settings.retry_bound),
-        judge=ServerJudge(table=context.get(LoadTable), observe=context.observe),
+        monitor=ServerHealthMonitor(table=context.get(LoadTable), observe=context.observe),
         observe=context.observe,
         guard=context.get(CrashGuard),
     )
--- a/src/pomelobarrow/relay/course.py
+++ b/src/pomelobarrow/relay/progress.py
@@ -11,7 +11,7 @@
 
 
 @define(kw_only=True)
-class Course:
+class RequestProgress:
     """Hold how far one request has got."""
 
     request: RelayRequest
--- a/src/pomelobarrow/relay/relay.py
+++ b/src/pomelobarrow/relay/relay.py
@@ -18,17 +18,16 @@
 from pomelobarrow.decision.routing import Routing
 from pomelobarrow.decision.turning_away import MIN_RETRY_AFTER_S, retry_at_unix_s
 from pomelobarrow.decision.work import BackendServer, LoadReport, Placement
+from pomelobarrow.dispatch.advertised_limits import record_advertised_limit
 from pomelobarrow.dispatch.answers import CallerGoneError
 from pomelobarrow.dispatch.crash_guard import CrashGuard, server_key
-from pomelobarrow.dispatch.named_limits import note_named_limit
 from pomelobarrow.dispatch.refusals import refuse
 from pomelobarrow.kernel.clock import now_unix_s
 from pomelobarrow.relay.answer import ClientAnswer
 from pomelobarrow.relay.attempt import Patience, RelayAttempt, Target
-from pomelobarrow.relay.course import Course
 from pomelobarrow.relay.event_splitter import EventSplitter
+from pomelobarrow.relay.health_monitor import FirstAnswers, ServerHealthMonitor
 from pomelobarrow.relay.hop import peer_target, refusal_headers
-from pomelobarrow.relay.judging import FirstAnswers, ServerJudge
 from pomelobarrow.relay.messages import (
     AttemptEnd,
     AttemptReport,
@@ -36,8 +35,9 @@
     ServerAnswerHead,
 )
 from pomelobarrow.relay.next_step import REACHED_NO_SERVER, Step, Tries, last_step, wants_retry
+from pomelobarrow.relay.progress import RequestProgress
 from pomelobarrow.relay.relay_log import RelayLog
-from pomelobarrow.relay.wire import RelayWire, ServerOrder
+from pomelobarrow.relay.wire import RelayWire, ServerCallOptions
 
 # A connection inside a region takes a millisecond or two; a server that doesn't answer in this
 # time, a retransmission included, is taken to be gone.
@@ -60,7 +60,7 @@
     retries: RetryShare
     observe: Callable[[object], None]
     rng: Random = field(factory=Random)
-    judge: ServerJudge
+    monitor: ServerHealthMonitor
     guard: CrashGuard = field(factory=CrashGuard)
     log: RelayLog = field(init=False)
     in_progress: int = 0
@@ -77,7 +77,7 @@
 
     async def answer(self, request: RelayRequest, routing: Routing, sink: ClientAnswer) -> None:
         """Answer a request, whole or with an honest refusal."""
-        course = Course(
+        progress = RequestProgress(
             request=request,
             sink=sink,
             routing=routing,
@@ -89,96 +89,98 @@
         self.in_progress += 1
         outcome = "client gone"
         try:
-            outcome = await self._answer(course)
+            outcome = await self._answer(progress)
         except CallerGoneError:
             pass
         finally:
             self.in_progress -= 1
-            self.log.end(course, outcome)
+            self.log.end(progress, outcome)
 
-    async def _answer(self, course: Course) -> str:
-        left_s = course.request.work.deadline_unix_s - now_unix_s()
+    async def _answer(self, progress: RequestProgress) -> str:
+        left_s = progress.request.work.deadline_unix_s - now_unix_s()
         try:
             async with asyncio.timeout(max(0.0, left_s)):
-                step = await self._try_all(course)
+                step = await self._try_all(progress)
         except TimeoutError:
-            course.tries.last_detail = "the time was up"
-            step = last_step(course.tries, course.sink.is_started)
-        return await self._conclude(course, step)
+            progress.tries.last_detail = "the time was up"
+            step = last_step(progress.tries, progress.sink.is_started)
+        return await self._conclude(progress, step)
 
-    async def _try_all(self, course: Course) -> Step:
+    async def _try_all(self, progress: RequestProgress) -> Step:
         while True:
-            if self.guard.refuses(course.request.fingerprint):
-                course.tries.is_blocked = True
-                return last_step(course.tries, course.sink.is_started)
+            if self.guard.refuses(progress.request.fingerprint):
+                progress.tries.is_blocked = True
+                return last_step(progress.tries, progress.sink.is_started)
             decision = self.placer.place(
-                course.request.for_placement, course.routing, course.excluded, now_unix_s()
+                progress.request.for_placement, progress.routing, progress.excluded, now_unix_s()
             )
-            if isinstance(decision, Nowhere) and await self._wait_for_limit(course, decision):
+            if isinstance(decision, Nowhere) and await self._wait_for_limit(progress, decision):
                 continue
             if isinstance(decision, Nowhere):
-                course.tries.last_detail = course.tries.last_detail or decision.reason
-                course.nowhere_wait_s = decision.wait_s
-                self.log.nowhere(course, decision)
-                return last_step(course.tries, course.sink.is_started)
-            report = await self._send(course, decision)
-            course.tries.note(report)
-            course.longest_pause_s = max(course.longest_pause_s, report.longest_pause_s)
+                progress.tries.last_detail = progress.tries.last_detail or decision.reason
+                progress.nowhere_wait_s = decision.wait_s
+                self.log.nowhere(progress, decision)
+                return last_step(progress.tries, progress.sink.is_started)
+            report = await self._send(progress, decision)
+            progress.tries.note(report)
+            progress.longest_pause_s = max(progress.longest_pause_s, report.longest_pause_s)
             if report.end is AttemptEnd.PASSED_ON:
                 return Step.DONE
-            if wants_retry(course.tries, report) and self._may_repeat(course, report):
+            if wants_retry(progress.tries, report) and self._may_repeat(progress, report):
                 continue
             # In the middle of a stream an answer of its own would be read as a part of its body.
-            if report.end is AttemptEnd.ANSWERED and not course.sink.is_started:
+            if report.end is AttemptEnd.ANSWERED and not progress.sink.is_started:
                 assert report.answer is not None
-                await course.sink.pass_on(report.answer)
+                await progress.sink.pass_on(report.answer)
                 return Step.DONE
-            return last_step(course.tries, course.sink.is_started)
+            return last_step(progress.tries, progress.sink.is_started)
 
-    async def _wait_for_limit(self, course: Course, decision: Nowhere) -> bool:
+    async def _wait_for_limit(self, progress: RequestProgress, decision: Nowhere) -> bool:
         """Wait until a server's own limit lets a request through, where that may be in time."""
         next_unix_s, now = decision.next_unix_s, now_unix_s()
-        if next_unix_s is None or course.request.forwarded_by:
+        if next_unix_s is None or progress.request.forwarded_by:
             return False
-        if next_unix_s >= course.request.work.first_token_due_unix_s:
+        if next_unix_s >= progress.request.work.first_token_due_unix_s:
             return False
         # Of those that wait for the same moment the first one goes; the others look again.
         await asyncio.sleep(max(LIMIT_CHECK_S, next_unix_s - now))
         return True
 
-    def _may_repeat(self, course: Course, report: AttemptReport) -> bool:
+    def _may_repeat(self, progress: RequestProgress, report: AttemptReport) -> bool:
         if report.end in REACHED_NO_SERVER:
             return True
-        if course.tries.may_have_run and not self.guard.may_repeat(course.request.fingerprint):
+        if progress.tries.may_have_run and not self.guard.may_repeat(progress.request.fingerprint):
             return False
-        had_repeat, course.has_repeat = course.has_repeat, False
-        return had_repeat or self._take_repeat(course)
+        had_repeat, progress.has_repeat = progress.has_repeat, False
+        return had_repeat or self._take_repeat(progress)
 
-    def _take_repeat(self, course: Course) -> bool:
+    def _take_repeat(self, progress: RequestProgress) -> bool:
         live_vms = len(self.placer.members.live)
-        return self.retries.take_repeat(course.request.work.pool, live_vms, now_unix_s())
+        return self.retries.take_repeat(progress.request.work.pool, live_vms, now_unix_s())
 
-    async def _send(self, course: Course, decision: OnServer | OnPeer) -> AttemptReport:
-        course.tries.attempts += 1
-        self.log.placed(course, decision)
+    async def _send(self, progress: RequestProgress, decision: OnServer | OnPeer) -> AttemptReport:
+        progress.tries.attempts += 1
+        self.log.placed(progress, decision)
         if isinstance(decision, OnServer):
-            return await self._send_to_server(course, decision.placement)
-        return await self._send_to_peer(course, decision)
+            return await self._send_to_server(progress, decision.placement)
+        return await self._send_to_peer(progress, decision)
 
-    async def _send_to_server(self, course: Course, placement: Placement) -> AttemptReport:
-        request, server, table = course.request, placement.server, self.placer.table
+    async def _send_to_server(
+        self, progress: RequestProgress, placement: Placement
+    ) -> AttemptReport:
+        request, server, table = progress.request, placement.server, self.placer.table
         work, now = request.work, now_unix_s()
         tokens = prefill_tokens(work, placement.cached_tokens)
         kv_tokens = tokens + work.expected_output_tokens
-        if not course.tries.was_sent:
+        if not progress.tries.was_sent:
             self.retries.note_first(work.pool, now)
         self.placer.note_placed(server, now)
         table.prefixes.observe_placement(server.name, work.prefix_hashes)
         table.charge(work.request_id, server.name, tokens, now, kv_tokens)
-        order = ServerOrder(
+        order = ServerCallOptions(
             server=server.name,
             deadline_unix_s=work.deadline_unix_s,
-            resume_after=self._resume_after(course),
+            resume_after=self._resume_after(progress),
         )
         target = Target(
             name=server.name,
@@ -189,29 +191,29 @@
         )
         try:
             report = await self._run(
-                course,
+                progress,
                 target,
-                patience=self._patience(course, placement),
-                on_pause=self._pause_watch(course, server.name),
+                patience=self._patience(progress, placement),
+                on_pause=self._pause_watch(progress, server.name),
                 on_head=lambda head: self._note_said(server, head),
             )
         finally:
             table.release(work.request_id, now_unix_s())
-        self.judge.judge(server, report, placement.expected_wait_s, now)
-        await self._note_whether_ended(course, server, report)
+        self.monitor.monitor(server, report, placement.expected_wait_s, now)
+        await self._note_whether_ended(progress, server, report)
         if report.end is not AttemptEnd.PASSED_ON:
-            course.excluded.servers.add(server.name)
+            progress.excluded.servers.add(server.name)
         return report
 
     async def _note_whether_ended(
-        self, course: Course, server: BackendServer, report: AttemptReport
+        self, progress: RequestProgress, server: BackendServer, report: AttemptReport
     ) -> None:
         """Learn whether a server ended under a request, or answered it."""
-        request = course.request
+        request = progress.request
         if report.is_closed:
             await self.guard.note_closed(server, request.fingerprint)
             if self.guard.has_ended(server, request.fingerprint):
-                course.tries.ended_server_key = server_key(server)
+                progress.tries.ended_server_key = server_key(server)
         elif report.end in (AttemptEnd.PASSED_ON, AttemptEnd.ANSWERED):
             self.guard.note_answered(request.fingerprint)
 
@@ -220,58 +222,58 @@
         if head.ended_server_key is not None:
             self.guard.note_crash(request.fingerprint, head.ended_server_key)
 
-    async def _send_to_peer(self, course: Course, decision: OnPeer) -> AttemptReport:
+    async def _send_to_peer(self, progress: RequestProgress, decision: OnPeer) -> AttemptReport:
         target = peer_target(
             decision.member,
             self.hop_port,
             self.own_vm,
-            course.request,
-            self._resume_after(course),
+            progress.request,
+            self._resume_after(progress),
             self.wire,
         )
         report = await self._run(
-            course, target, on_head=lambda head: self._note_told(course.request, head)
+            progress, target, on_head=lambda head: self._note_told(progress.request, head)
         )
         if report.end is AttemptEnd.NOT_SENT:
             self.placer.members.note_unreached(decision.member.vm, now_unix_s())
         elif report.end is not AttemptEnd.LOST:
             self.placer.members.reach.note_reached(decision.member.vm)
         if report.end is not AttemptEnd.PASSED_ON:
-            course.excluded.peers.add(decision.member.vm)
+            progress.excluded.peers.add(decision.member.vm)
         if report.end in (AttemptEnd.REFUSED, AttemptEnd.TURNED_BACK):
-            self._exclude_place(course, decision)
+            self._exclude_place(progress, decision)
         return report
 
     @staticmethod
-    def _exclude_place(course: Course, decision: OnPeer) -> None:
+    def _exclude_place(progress: RequestProgress, decision: OnPeer) -> None:
         """Leave out the server of a coordinator that refused, else the peer's region."""
         if decision.server:
-            course.excluded.servers.add(decision.server)
+            progress.excluded.servers.add(decision.server)
         else:
-            course.excluded.regions.add(decision.member.region)
+            progress.excluded.regions.add(decision.member.region)
 
-    def _resume_after(self, course: Course) -> str:
+    def _resume_after(self, progress: RequestProgress) -> str:
         """Return the last event that the client has of this answer."""
-        return course.splitter.last_event_id if course.sink.is_started else ""
+        return progress.splitter.last_event_id if progress.sink.is_started else ""
 
-    def _patience(self, course: Course, placement: Placement) -> Patience | None:
+    def _patience(self, progress: RequestProgress, placement: Placement) -> Patience | None:
         """Return how long to wait for a silent server, None where no other could be tried."""
-        route = course.request.route
-        is_suspect = not self.guard.may_repeat(course.request.fingerprint)
-        if not route.is_repeatable or is_suspect or course.tries.attempts_left < 2:
+        route = progress.request.route
+        is_suspect = not self.guard.may_repeat(progress.request.fingerprint)
+        if not route.is_repeatable or is_suspect or progress.tries.attempts_left < 2:
             return None
 
         def take_repeat() -> bool:
-            course.has_repeat = self._take_repeat(course)
-            return course.has_repeat
+            progress.has_repeat = self._take_repeat(progress)
+            return progress.has_repeat
 
-        patience_s = self.first_answers.patience_s(route.name, placement.expected_wait_s)
-        return Patience(lasts_s=patience_s, may_give_up=take_repeat)
+        time_limit_s = self.first_answers.time_limit_s(route.name, placement.expected_wait_s)
+        return Patience(lasts_s=time_limit_s, may_give_up=take_repeat)
 
     def _note_said(self, server: BackendServer, head: ServerAnswerHead) -> None:
         """Take in what a server says of itself with an answer."""
         table = self.placer.table
-        note_named_limit(table, server, head.limit_per_s, head.limit_header, self.observe)
+        record_advertised_limit(table, server, head.limit_per_s, head.limit_header, self.observe)
         # The incarnation that it was sent to may be gone.
         if head.counts is None or not table.is_current(server):
             return
@@ -285,9 +287,9 @@
         )
         table.observe_glimpse(glimpse, now)
 
-    def _pause_watch(self, course: Course, server: str) -> Callable[[float], None]:
+    def _pause_watch(self, progress: RequestProgress, server: str) -> Callable[[float], None]:
         """Return what learns from the pauses of a stream."""
-        gap_target_s, pauses = course.request.work.gap_target_s, self.placer.table.pauses
+        gap_target_s, pauses = progress.request.work.gap_target_s, self.placer.table.pauses
 
         def observe(pause_s: float) -> None:
             if gap_target_s:
@@ -297,7 +299,7 @@
 
     async def _run(
         self,
-        course: Course,
+        progress: RequestProgress,
         target: Target,
         patience: Patience | None = None,
         on_pause: Callable[[float], None] = lambda pause_s: None,
@@ -307,17 +309,17 @@
         report = AttemptReport(end=AttemptEnd.LOST, detail="given up")
 
         def note_first_answer(head: ServerAnswerHead) -> None:
-            course.first_answer_unix_s = course.first_answer_unix_s or now_unix_s()
+            progress.first_answer_unix_s = progress.first_answer_unix_s or now_unix_s()
             took_s = now_unix_s() - started_unix_s
-            self.first_answers.learn(course.request.route.name, took_s)
-            self.placer.table.started(course.request.work.request_id, now_unix_s())
+            self.first_answers.learn(progress.request.route.name, took_s)
+            self.placer.table.started(progress.request.work.request_id, now_unix_s())
 
         attempt = RelayAttempt(
             sessions=self.sessions,
-            request=course.request,
+            request=progress.request,
             target=target,
-            sink=course.sink,
-            splitter=course.splitter,
+            sink=progress.sink,
+            splitter=progress.splitter,
             on_first_answer=note_first_answer,
             on_pause=on_pause,
             on_head=on_head,
@@ -327,43 +329,43 @@
             report = await attempt.run()
         except BaseException:
             # Whoever cancels has to know whether the server may have got the request.
-            course.tries.may_have_run |= not attempt.is_surely_unrun
+            progress.tries.may_have_run |= not attempt.is_surely_unrun
             raise
         finally:
-            self.log.attempt(course, target, report, started_unix_s)
+            self.log.attempt(progress, target, report, started_unix_s)
         return report
 
-    async def _conclude(self, course: Course, step: Step) -> str:
+    async def _conclude(self, progress: RequestProgress, step: Step) -> str:
         """Give the client what is left to give; return the outcome's name."""
         if step is Step.DONE:
             return "answered"
         if step is Step.BREAK_OFF:
-            course.sink.break_off()
+            progress.sink.break_off()
             return "broken off"
         if step is Step.PASS_ON:
-            assert course.tries.failure is not None
-            await course.sink.pass_on(course.tries.failure)
+            assert progress.tries.failure is not None
+            await progress.sink.pass_on(progress.tries.failure)
             return "answered"
-        refusal = self._refusal(course, step)
-        request_id = course.request.work.request_id
-        await self.refuse(refusal, request_id, course.sink, course.tries)
+        refusal = self._refusal(progress, step)
+        request_id = progress.request.work.request_id
+        await self.refuse(refusal, request_id, progress.sink, progress.tries)
         return "refused" if refusal.run is Run.NO else "failed"
 
-    def _refusal(self, course: Course, step: Step) -> Refusal:
-        work, detail = course.request.work, course.tries.last_detail
+    def _refusal(self, progress: RequestProgress, step: Step) -> Refusal:
+        work, detail = progress.request.work, progress.tries.last_detail
         if step is Step.BLOCK:
-            run = Run.UNKNOWN if course.tries.may_have_run else Run.NO
-            return self.guard.refusal(work.request_id, work.pool, course.request.fingerprint, run)
+            run = Run.UNKNOWN if progress.tries.may_have_run else Run.NO
+            return self.guard.refusal(work.request_id, work.pool, progress.request.fingerprint, run)
         if step is Step.FAIL:
             is_late = now_unix_s() >= work.deadline_unix_s
             kind = Kind.DEADLINE_PASSED if is_late else Kind.OUTCOME_UNKNOWN
             return refuse(kind, Run.UNKNOWN, detail)
         now = now_unix_s()
-        if course.tries.attempts and not course.nowhere_wait_s:
+        if progress.tries.attempts and not progress.nowhere_wait_s:
             pause_s = MIN_RETRY_AFTER_S * self.rng.uniform(1.0, 1.0 + RETRY_JITTER)
             return refuse(Kind.NO_CAPACITY, Run.NO, detail, now + pause_s)
         # Without any server the queue's pace says nothing; that lasts longer than a full one does.
-        wait_s = course.nowhere_wait_s or max(0.0, work.deadline_unix_s - now)
+        wait_s = progress.nowhere_wait_s or max(0.0, work.deadline_unix_s - now)
         taken_per_s = self.placer.table.drain_per_s(work.pool, now) / self._vms_here
         retry_at = retry_at_unix_s(
             self.retry_line, wait_s, taken_per_s, work.deadline_unix_s, now, self.rng
--- a/src/pomelobarrow/relay/relay_log.py
+++ b/src/pomelobarrow/relay/relay_log.py
@@ -10,14 +10,14 @@
 from pomelobarrow.decision.region_choice import RegionLoad
 from pomelobarrow.kernel.clock import now_unix_s
 from pomelobarrow.relay.attempt import Target
-from pomelobarrow.relay.course import Course
 from pomelobarrow.relay.events import (
     RelayAttemptEnded,
     RelayEnded,
+    RelayNotPlaced,
     RelayPlaced,
-    RelayPlacedNowhere,
 )
 from pomelobarrow.relay.messages import AttemptReport
+from pomelobarrow.relay.progress import RequestProgress
 
 
 @define(kw_only=True)
@@ -29,9 +29,9 @@
     region_loads: Callable[[str], Mapping[str, RegionLoad]]
     observe: Callable[[object], None]
 
-    def placed(self, course: Course, decision: OnServer | OnPeer) -> None:
+    def placed(self, progress: RequestProgress, decision: OnServer | OnPeer) -> None:
         """Report where a request is sent."""
-        work, table = course.request.work, self.table
+        work, table = progress.request.work, self.table
         if isinstance(decision, OnServer):
             target, region = decision.placement.server.name, self.own_region
             expected_s = decision.placement.expected_wait_s
@@ -43,16 +43,16 @@
         self.observe(
             RelayPlaced(
                 request_id=work.request_id,
-                route=course.request.route.name,
+                route=progress.request.route.name,
                 pool=work.pool,
-                routing_version=course.routing.version,
-                attempt=course.tries.attempts,
+                routing_version=progress.routing.version,
+                attempt=progress.tries.attempts,
                 target=target,
                 target_region=region,
                 reason=decision.reason,
                 expected_first_answer_s=expected_s,
                 prompt_tokens=work.prompt_tokens,
-                group=course.request.head.group,
+                group=progress.request.head.group,
                 shared_tokens=work.shared_tokens,
                 cached_tokens=cached_tokens,
                 view_age_s=table.view_age_s,
@@ -61,18 +61,18 @@
             )
         )
 
-    def nowhere(self, course: Course, decision: Nowhere) -> None:
+    def nowhere(self, progress: RequestProgress, decision: Nowhere) -> None:
         """Report that nobody may get a request now."""
-        work, table, now = course.request.work, self.table, now_unix_s()
+        work, table, now = progress.request.work, self.table, now_unix_s()
         listed = table.pool_servers(work.pool)
         loads = self.region_loads(work.pool).items()
         self.observe(
-            RelayPlacedNowhere(
+            RelayNotPlaced(
                 request_id=work.request_id,
-                route=course.request.route.name,
+                route=progress.request.route.name,
                 pool=work.pool,
-                routing_version=course.routing.version,
-                attempts=course.tries.attempts,
+                routing_version=progress.routing.version,
+                attempts=progress.tries.attempts,
                 reason=decision.reason,
                 expected_wait_s=decision.wait_s,
                 servers_listed=len(listed),
@@ -81,22 +81,26 @@
                 servers_elsewhere={
                     region: load.servers for region, load in loads if load.is_fresh(now)
                 },
-                excluded=course.excluded.names(),
+                excluded=progress.excluded.names(),
                 view_age_s=table.view_age_s,
                 time_left_s=work.deadline_unix_s - now,
             )
         )
 
     def attempt(
-        self, course: Course, target: Target, report: AttemptReport, started_unix_s: float
+        self,
+        progress: RequestProgress,
+        target: Target,
+        report: AttemptReport,
+        started_unix_s: float,
     ) -> None:
         """Report how one sending ended."""
         self.observe(
             RelayAttemptEnded(
-                request_id=course.request.work.request_id,
-                route=course.request.route.name,
-                pool=course.request.work.pool,
-                attempt=course.tries.attempts,
+                request_id=progress.request.work.request_id,
+                route=progress.request.route.name,
+                pool=progress.request.work.pool,
+                attempt=progress.tries.attempts,
                 target=target.name,
                 end=report.end.value,
                 status=report.answer.head.status if report.answer else 0,
@@ -107,23 +111,23 @@
             )
         )
 
-    def end(self, course: Course, outcome: str) -> None:
+    def end(self, progress: RequestProgress, outcome: str) -> None:
         """Report what the client got."""
-        work, first_unix_s = course.request.work, course.first_answer_unix_s
+        work, first_unix_s = progress.request.work, progress.first_answer_unix_s
         self.observe(
             RelayEnded(
                 request_id=work.request_id,
-                route=course.request.route.name,
-                fingerprint=readable(course.request.fingerprint),
+                route=progress.request.route.name,
+                fingerprint=readable(progress.request.fingerprint),
                 outcome=outcome,
-                status=course.sink.status,
-                detail=course.tries.last_detail,
-                routing_version=course.routing.version,
-                attempts=course.tries.attempts,
-                forwarded_by=course.request.forwarded_by,
+                status=progress.sink.status,
+                detail=progress.tries.last_detail,
+                routing_version=progress.routing.version,
+                attempts=progress.tries.attempts,
+                forwarded_by=progress.request.forwarded_by,
                 took_s=now_unix_s() - work.accepted_unix_s,
                 first_answer_s=_since(work.accepted_unix_s, first_unix_s),
-                late_by=_late_by(course),
+                late_by=_late_by(progress),
             )
         )
 
@@ -132,11 +136,11 @@
     return None if unix_s is None else unix_s - start_unix_s
 
 
-def _late_by(course: Course) -> str:
-    route, first_unix_s = course.request.route, course.first_answer_unix_s
+def _late_by(progress: RequestProgress) -> str:
+    route, first_unix_s = progress.request.route, progress.first_answer_unix_s
     is_first_late = (
-        first_unix_s is not None and first_unix_s > course.request.work.first_token_due_unix_s
+        first_unix_s is not None and first_unix_s > progress.request.work.first_token_due_unix_s
     )
-    is_pause_late = 0.0 < route.gap_target_s < course.longest_pause_s
+    is_pause_late = 0.0 < route.gap_target_s < progress.longest_pause_s
     late = (("first answer", is_first_late), ("pause", is_pause_late))
     return " and ".join(name for name, is_late in late if is_late)
--- a/src/pomelobarrow/relay/wire.py
+++ b/src/pomelobarrow/relay/wire.py
@@ -24,7 +24,7 @@
 
 
 @frozen(kw_only=True)
-class ServerOrder:
+class ServerCallOptions:
     """Say for whom a request is meant and how it is to run."""
 
     # The backend server's name: any other at its address refuses the request unrun.
@@ -42,7 +42,7 @@
     directory_path: str
     read_request: Callable[[Mapping[str, str]], Result[RequestHead, str]]
     # The headers of a request on its way to a backend server.
-    server_headers: Callable[[RelayRequest, ServerOrder], Headers]
+    server_headers: Callable[[RelayRequest, ServerCallOptions], Headers]
     # The headers of a request on its way to a peer: with the time that is left, and to go on after
     # an event of a stream that broke off.
     peer_headers: Callable[[RelayRequest, str], Headers]
--- a/tests/held_streams.py
+++ b/tests/held_streams.py
@@ -10,7 +10,7 @@
 EXIT_TIMEOUT_S = 60.0
 
 
-class Held:
+class HeldStreams:
     """Hold long streams that have begun."""
 
     def __init__(self, fleet: Fleet) -> None:
@@ -29,7 +29,7 @@
         self.tasks.append(task)
         self._begun.append(begun)
 
-    async def wait_begun(self) -> None:
+    async def wait_until_started(self) -> None:
         """Return once every stream has brought its first token or ended."""
         await asyncio.gather(*(begun.wait() for begun in self._begun))
 
--- a/tests/relay_harness.py
+++ b/tests/relay_harness.py
@@ -22,7 +22,7 @@
 from pomelobarrow.kernel.clock import now_unix_s
 from pomelobarrow.platform.wire import platform_wire
 from pomelobarrow.relay.front import RelayFront
-from pomelobarrow.relay.judging import ServerJudge
+from pomelobarrow.relay.health_monitor import ServerHealthMonitor
 from pomelobarrow.relay.listeners import Listener, RelayListeners
 from pomelobarrow.relay.planned_stop import PlannedStop
 from pomelobarrow.relay.relay import Relay
@@ -166,7 +166,7 @@
         sessions=BackendSessions({}),
         wire=platform_wire(),
         retries=RetryShare(bound=bound),
-        judge=ServerJudge(table=table, observe=events.append),
+        monitor=ServerHealthMonitor(table=table, observe=events.append),
         observe=events.append,
     )
     front = RelayFront(
--- a/tests/slow_reader.py
+++ b/tests/slow_reader.py
@@ -60,7 +60,7 @@
     return True
 
 
-async def ask_for_the_most(fleet: Fleet, vm: str) -> SlowReader:
+async def request_largest_buffered_answer(fleet: Fleet, vm: str) -> SlowReader:
     """Ask for the largest answer that counts as given before any of it is read.
 
     The sockets' buffers are full then, and its last bytes wait in the process.
--- a/tests/test_backends_attempts.py
+++ b/tests/test_backends_attempts.py
@@ -40,7 +40,7 @@
     async def end(self) -> None:
         self.is_whole = True
 
-    async def broken(self, refusal: Refusal) -> None:
+    async def abort(self, refusal: Refusal) -> None:
         raise AssertionError("an attempt leaves this to the dispatcher")
 
 
--- a/tests/test_dispatch_charges.py
+++ b/tests/test_dispatch_charges.py
@@ -37,7 +37,7 @@
 
     async def end(self) -> None: ...
 
-    async def broken(self, refusal: Refusal) -> None: ...
+    async def abort(self, refusal: Refusal) -> None: ...
 
 
 @define
@@ -99,4 +99,4 @@
     await local.run(request(), Attempt(), 1, frozenset(), SilentSink())
     # Not counted, prompts for more than the engine's memory were placed and waited there.
     assert engine.kv_tokens == [PROMPT_TOKENS + EXPECTED_TOKENS]
-    assert local.outputs.expected_tokens("review") == OUTPUT_TOKENS
+    assert local.output_estimate.expected_tokens("review") == OUTPUT_TOKENS
--- a/tests/test_dispatch_claims.py
+++ b/tests/test_dispatch_claims.py
@@ -41,7 +41,7 @@
     async def end(self) -> None:
         self.is_whole = True
 
-    async def broken(self, refusal: Refusal) -> None:
+    async def abort(self, refusal: Refusal) -> None:
         pass
 
 
--- a/tests/test_dispatch_crashing_request.py
+++ b/tests/test_dispatch_crashing_request.py
@@ -120,7 +120,7 @@
     for key in range(3):
         guard.note_crash(request.fingerprint, key)
     table.set_servers([evolve(SERVER, region="r", pool="p")])
-    local.pump("p")
+    local.place_waiting("p")
     with pytest.raises(RefusedError, match="servers ended while they ran this request"):
         await waiting
     assert (ran, dict(table.in_flight())) == ([], {})
--- a/tests/test_dispatch_verdicts.py
+++ b/tests/test_dispatch_verdicts.py
@@ -17,7 +17,7 @@
 from pomelobarrow.decision.work import Work
 from pomelobarrow.dispatch import dispatcher as module
 from pomelobarrow.dispatch.answers import AnswerHead, AnswerSink, AttemptResult
-from pomelobarrow.dispatch.background import wait_briefly
+from pomelobarrow.dispatch.background import wait_or_detach
 from pomelobarrow.dispatch.dispatcher import Dispatcher
 from pomelobarrow.dispatch.refusals import RefusedError, refuse
 
@@ -42,7 +42,7 @@
 
     broken_off: int = 0
 
-    async def broken(self, refusal: Refusal) -> None:
+    async def abort(self, refusal: Refusal) -> None:
         self.broken_off += 1
 
 
@@ -126,10 +126,10 @@
         ended.set()
         return "word"
 
-    assert await wait_briefly(work(), 0.0, "none yet") == "none yet"
+    assert await wait_or_detach(work(), 0.0, "none yet") == "none yet"
     may_end.set()
     await ended.wait()
-    assert await wait_briefly(work(), 60.0, "none yet") == "word"
+    assert await wait_or_detach(work(), 60.0, "none yet") == "word"
 
 
 async def test_headers_that_come_twice_are_passed_on_twice() -> None:
--- a/tests/test_proof_planned_stop.py
+++ b/tests/test_proof_planned_stop.py
@@ -9,9 +9,9 @@
 import aiohttp
 import pytest
 from callers import Reply, call_service, chat, chat_body, entries, request_ids, wait_until
-from held_streams import STREAM_TOKENS, Held, wait_for_exit
+from held_streams import STREAM_TOKENS, HeldStreams, wait_for_exit
 from proof_report import Figure
-from slow_reader import ask_for_the_most
+from slow_reader import request_largest_buffered_answer
 
 from harness.fleet import Fleet
 
@@ -116,13 +116,13 @@
     await wait_until(is_acquainted)
 
 
-async def hold_streams(fleet: Fleet, vm: str) -> Held:
+async def hold_streams(fleet: Fleet, vm: str) -> HeldStreams:
     """Start streams through a VM, passed on by it, and passed on to its region."""
     await wait_until_acquainted(fleet)
     regions = fleet.deployment.regions
     region = fleet.entries[vm].region
     other = regions[(regions.index(region) + 1) % len(regions)]
-    held = Held(fleet)
+    held = HeldStreams(fleet)
     for _ in range(2):
         held.start(vm, f"paying-{region}", "draft", "draft-large")
         held.start(vm, f"paying-{other}", "draft", "draft-large")
@@ -141,7 +141,7 @@
     async with steady_callers(fleet) as callers:
         for vm, plan in fleet.entries.items():
             held = await hold_streams(fleet, vm)
-            await held.wait_begun()
+            await held.wait_until_started()
             neighbour = next(each for each in fleet.in_region(plan.region) if each != vm)
             started_s = time.monotonic()
             fleet.terminate(vm)
@@ -237,7 +237,7 @@
 
     held = await hold_streams(fleet, vm)
     hammers = [asyncio.create_task(hammer()) for _ in range(8)]
-    await held.wait_begun()
+    await held.wait_until_started()
     await wait_until(has_answered)
     fleet.terminate(vm)
     await asyncio.gather(*hammers)
@@ -260,7 +260,7 @@
     # A build server reads a large answer slowly. The gateway has all of it, and part of that still
     # waits in the process when the stop is asked for; an exit then would cut the answer's end off.
     fleet, vm = rondinella, "milan-1"
-    slow = await ask_for_the_most(fleet, vm)
+    slow = await request_largest_buffered_answer(fleet, vm)
     fleet.terminate(vm)
     await wait_until(lambda: is_closing_or_gone(fleet, vm))
     read = await slow.read_answer()
--- a/tests/test_proof_two_faults.py
+++ b/tests/test_proof_two_faults.py
@@ -4,7 +4,7 @@
 
 import pytest
 from callers import Reply, chat, chat_body, request_ids
-from held_streams import Held, wait_for_exit
+from held_streams import HeldStreams, wait_for_exit
 from proof_report import Figure
 
 from harness.fleet import Fleet
@@ -31,11 +31,11 @@
     # come late, but each ends whole or with an error event, none is told "not run" that ran, and
     # what comes afterwards is answered.
     fleet, account = vasktoru, "paying-warsaw"
-    streams = Held(fleet)
+    streams = HeldStreams(fleet)
     for _ in range(STREAMS):
         for vm in fleet.in_region("tallinn"):
             streams.start(vm, account, "contract-review", "contract-reader")
-    await streams.wait_begun()
+    await streams.wait_until_started()
     started_s = time.monotonic()
     fleet.freeze("warsaw-1")
     fleet.processes.kill("contracts-warsaw-1")
@@ -43,7 +43,7 @@
     figure("seconds until all had ended", time.monotonic() - started_s)
     fleet.thaw("warsaw-1")
     fleet.start_server("contracts-warsaw-1")
-    later = Held(fleet)
+    later = HeldStreams(fleet)
     for vm in fleet.entries:
         later.start(vm, account, "contract-review", "contract-reader")
     afterwards = await later.replies()
@@ -62,13 +62,13 @@
     # connections that will never speak again.
     fleet, replies, stops_s = rondinella, [], []
     for vm, plan in fleet.entries.items():
-        streams = Held(fleet)
+        streams = HeldStreams(fleet)
         other = next(each for each in fleet.deployment.regions if each != plan.region)
         for region in (plan.region, other) * 2:
             streams.start(vm, f"paying-{region}", "draft", "draft-large")
         for entry in fleet.in_region(other):
             streams.start(entry, f"paying-{plan.region}", "draft", "draft-large")
-        await streams.wait_begun()
+        await streams.wait_until_started()
         started_s = time.monotonic()
         fleet.terminate(vm)
         await fleet.fault("peer/*", "silent")
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -21,7 +21,7 @@
 from pomelobarrow.decision.routing import RouteKind
 from pomelobarrow.kernel.clock import now_unix_s
 from pomelobarrow.relay.events import RelayEnded
-from pomelobarrow.relay.judging import PATIENCE_FLOOR_S
+from pomelobarrow.relay.health_monitor import PATIENCE_FLOOR_S
 
 IDEMPOTENT = route(RouteKind.IDEMPOTENT, max_attempts=2)
 ONCE = route(RouteKind.NON_IDEMPOTENT)
--- a/tests/test_relay_judging.py
+++ b/tests/test_relay_health_monitor.py
@@ -7,9 +7,14 @@
 from pomelobarrow.decision.load_table import LoadTable
 from pomelobarrow.decision.server_health import FIRST_EJECTION_S
 from pomelobarrow.kernel.clock import now_unix_s
-from pomelobarrow.relay import judging
-from pomelobarrow.relay.events import ServerBack, ServerEjected
-from pomelobarrow.relay.judging import PATIENCE_FLOOR_S, QUEUE_FACTOR, FirstAnswers, ServerJudge
+from pomelobarrow.relay import health_monitor
+from pomelobarrow.relay.events import ServerEjected, ServerReadmitted
+from pomelobarrow.relay.health_monitor import (
+    PATIENCE_FLOOR_S,
+    QUEUE_FACTOR,
+    FirstAnswers,
+    ServerHealthMonitor,
+)
 from pomelobarrow.relay.messages import (
     AttemptEnd,
     AttemptReport,
@@ -22,10 +27,10 @@
 PASSED_ON = AttemptReport(end=AttemptEnd.PASSED_ON)
 
 
-def judge() -> tuple[ServerJudge, LoadTable, list[object]]:
+def monitor() -> tuple[ServerHealthMonitor, LoadTable, list[object]]:
     table, events = LoadTable("a"), []
     table.set_servers((S1, S2))
-    return ServerJudge(table=table, observe=events.append), table, events
+    return ServerHealthMonitor(table=table, observe=events.append), table, events
 
 
 def answered(status: int) -> AttemptReport:
@@ -41,22 +46,22 @@
     Told as its return, that answer was followed by a second ejection that never was.
     """
     clock = [now_unix_s()]
-    monkeypatch.setattr(judging, "now_unix_s", lambda: clock[0])
-    by, table, events = judge()
+    monkeypatch.setattr(health_monitor, "now_unix_s", lambda: clock[0])
+    by, table, events = monitor()
     for _ in range(3):
-        by.judge(S1, LOST, 0.1, clock[0])
-    by.judge(S1, PASSED_ON, 0.1, clock[0])
+        by.monitor(S1, LOST, 0.1, clock[0])
+    by.monitor(S1, PASSED_ON, 0.1, clock[0])
     ejected = ServerEjected(server="s1", pool=POOL, detail="closed")
     assert (table.is_ejected("s1", clock[0]), events) == (True, [ejected])
     clock[0] += FIRST_EJECTION_S
-    by.judge(S1, PASSED_ON, 0.1, clock[0])
-    assert events == [ejected, ServerBack(server="s1", pool=POOL)]
+    by.monitor(S1, PASSED_ON, 0.1, clock[0])
+    assert events == [ejected, ServerReadmitted(server="s1", pool=POOL)]
 
 
 def test_refusals_say_nothing_against_a_server() -> None:
-    by, table, events = judge()
+    by, table, events = monitor()
     for _ in range(20):
-        by.judge(S1, AttemptReport(end=AttemptEnd.REFUSED), 0.1, now_unix_s())
+        by.monitor(S1, AttemptReport(end=AttemptEnd.REFUSED), 0.1, now_unix_s())
     assert (table.is_ejected("s1", now_unix_s()), events) == (False, [])
 
 
@@ -65,20 +70,20 @@
 
     Never two failures in a row, so that only the comparison with the other finds it.
     """
-    by, table, events = judge()
+    by, table, events = monitor()
     for number in range(40):
-        by.judge(S2, answered(200), 0.1, now_unix_s())
-        by.judge(S1, answered(500 if number % 2 else 200), 0.1, now_unix_s())
+        by.monitor(S2, answered(200), 0.1, now_unix_s())
+        by.monitor(S1, answered(500 if number % 2 else 200), 0.1, now_unix_s())
     assert [type(event) for event in events][:1] == [ServerEjected]
     assert not table.is_ejected("s2", now_unix_s())
 
 
 def test_patience_follows_what_a_route_takes() -> None:
     first = FirstAnswers()
-    assert first.patience_s("r", 0.0) == PATIENCE_FLOOR_S
+    assert first.time_limit_s("r", 0.0) == PATIENCE_FLOOR_S
     for _ in range(200):
         first.learn("r", 0.5)
-    assert first.patience_s("r", 0.0) == 2.0
+    assert first.time_limit_s("r", 0.0) == 2.0
 
 
 def test_patience_lasts_over_a_known_queue() -> None:
@@ -89,4 +94,4 @@
     """
     first, expected_s = FirstAnswers(), 1.3
     first.learn("r", 0.1)
-    assert first.patience_s("r", expected_s) > QUEUE_FACTOR * expected_s
+    assert first.time_limit_s("r", expected_s) > QUEUE_FACTOR * expected_s
--- a/tests/test_server_incarnations.py
+++ b/tests/test_server_incarnations.py
@@ -8,7 +8,7 @@
 from pomelobarrow.peers.grid import LinkKind
 from pomelobarrow.peers.server_news import SentServers, ServerNews
 from pomelobarrow.published.vms import VmList
-from pomelobarrow.relay.judging import ServerJudge
+from pomelobarrow.relay.health_monitor import ServerHealthMonitor
 from pomelobarrow.relay.messages import AttemptEnd, AttemptReport
 
 FIRST = BackendServer(
@@ -100,10 +100,10 @@
     Each would count as a failure of the new incarnation, which would be ejected while healthy.
     """
     table = table_of(FIRST, OTHER)
-    judge = ServerJudge(table=table, observe=lambda _: None)
+    monitor = ServerHealthMonitor(table=table, observe=lambda _: None)
     table.set_servers([SECOND, OTHER])
     for _ in range(10):
-        judge.judge(FIRST, AttemptReport(end=AttemptEnd.LOST), 0.1, 1.0)
+        monitor.monitor(FIRST, AttemptReport(end=AttemptEnd.LOST), 0.1, 1.0)
     assert not table.is_ejected("s1", 1.0)
 
 
