--- a/src/pomelobarrow/dispatch/claims.py
+++ b/src/pomelobarrow/dispatch/claims.py
@@ -43,7 +43,7 @@
     # Set before the ids are sent to a successor: from then on it may run them.
     is_handing_over: bool = False
     _running: set["asyncio.Task[Refusal | None]"] = field(factory=set)
-    _left: dict[str, "asyncio.Task[Refusal | None]"] = field(factory=dict)
+    _abandoned: dict[str, "asyncio.Task[Refusal | None]"] = field(factory=dict)
 
     async def dispatch(self, request: GatewayRequest, sink: AnswerSink) -> Refusal | None:
         """Claim the id here, or pass the request on to the VM that issued it."""
@@ -55,7 +55,7 @@
             return await self._claim(request, sink)
         if request.forwarded_by is not None:
             return self._issuer_gone()
-        return await self._pass_to_issuer(issuer, request, sink)
+        return await self._forward_to_issuer(issuer, request, sink)
 
     async def refuse(
         self, request: GatewayRequest, refusal: Refusal, sink: AnswerSink
@@ -70,19 +70,19 @@
         claim = self.ledger.claim(work.request_id, work.account, now_unix_s())
         if claim.kind is ClaimKind.FRESH:
             return self._record_refusal(work.request_id, refusal)
-        return await self._answers()[claim.kind](claim, request, sink)
+        return await self._handlers()[claim.kind](claim, request, sink)
 
-    def after_run(self, request_id: str, then: Callable[[], None]) -> None:
+    def call_after_run(self, request_id: str, callback: Callable[[], None]) -> None:
         """Call back once the run that this id's caller has just left is over, or now.
 
         An account that left its requests running would otherwise get room for more at once, and
         keep any number of them running past its limit.
         """
-        task = self._left.pop(request_id, None)
+        task = self._abandoned.pop(request_id, None)
         if task is None:
-            then()
+            callback()
         else:
-            task.add_done_callback(lambda _: then())
+            task.add_done_callback(lambda _: callback())
 
     async def wait_until_idle(self) -> None:
         """Return once no claimed request runs any more."""
@@ -92,17 +92,17 @@
     async def _claim(self, request: GatewayRequest, sink: AnswerSink) -> Refusal | None:
         work = request.work
         claim = self.ledger.claim(work.request_id, work.account, now_unix_s())
-        return await self._answers()[claim.kind](claim, request, sink)
+        return await self._handlers()[claim.kind](claim, request, sink)
 
-    def _answers(self) -> dict[ClaimKind, ClaimAnswer]:
+    def _handlers(self) -> dict[ClaimKind, ClaimAnswer]:
         return {
             ClaimKind.FRESH: self._run_fresh,
-            ClaimKind.RUNNING: self._say_still_running,
+            ClaimKind.RUNNING: self._refuse_still_running,
             ClaimKind.FINISHED: self._repeat_outcome,
-            ClaimKind.FORGED: self._say_forged,
-            ClaimKind.EXPIRED: self._say_expired,
-            ClaimKind.NOT_MINE: self._say_gone,
-            ClaimKind.RETIRED: self._say_retired,
+            ClaimKind.FORGED: self._refuse_forged,
+            ClaimKind.EXPIRED: self._refuse_expired,
+            ClaimKind.NOT_MINE: self._refuse_not_mine,
+            ClaimKind.RETIRED: self._refuse_retired,
         }
 
     async def _run_fresh(
@@ -118,7 +118,7 @@
         except asyncio.CancelledError:
             recorder.detach()
             if not task.done():
-                self._left[request.work.request_id] = task
+                self._abandoned[request.work.request_id] = task
             raise
 
     async def _run_recorded(
@@ -147,7 +147,7 @@
         self.ledger.finish(request_id, Outcome(status=refusal.kind.status, run=Run.NO.value))
         return evolve(refusal, remedy=f"{refusal.remedy}; {REMEDY_NEW_ID}")
 
-    async def _pass_to_issuer(
+    async def _forward_to_issuer(
         self, issuer: Issuer, request: GatewayRequest, sink: AnswerSink
     ) -> Refusal | None:
         """Send the repeat to its issuer once; only the issuer's own word counts as "not run"."""
@@ -166,7 +166,7 @@
             return self._issuer_gone("the issuer did not take it")
         return refusal
 
-    async def _say_still_running(
+    async def _refuse_still_running(
         self, claim: Claim, request: GatewayRequest, sink: AnswerSink
     ) -> Refusal | None:
         retry_at_unix_s = retry_after_unix_s(STILL_RUNNING_PAUSE_S, now_unix_s(), self.rng)
@@ -193,23 +193,23 @@
         await sink.end()
         return None
 
-    async def _say_forged(
+    async def _refuse_forged(
         self, claim: Claim, request: GatewayRequest, sink: AnswerSink
     ) -> Refusal | None:
         return _not_issued("the id was not issued to this account")
 
-    async def _say_expired(
+    async def _refuse_expired(
         self, claim: Claim, request: GatewayRequest, sink: AnswerSink
     ) -> Refusal | None:
         detail = "the id has expired; a first request under it may have run"
         return refuse(Kind.OUTCOME_UNKNOWN, Run.UNKNOWN, detail)
 
-    async def _say_gone(
+    async def _refuse_not_mine(
         self, claim: Claim, request: GatewayRequest, sink: AnswerSink
     ) -> Refusal | None:
         return self._issuer_gone()
 
-    async def _say_retired(
+    async def _refuse_retired(
         self, claim: Claim, request: GatewayRequest, sink: AnswerSink
     ) -> Refusal | None:
         detail = "the VM that issued the id is stopping; this id was not used here"
--- a/src/pomelobarrow/dispatch/crash_guard.py
+++ b/src/pomelobarrow/dispatch/crash_guard.py
@@ -34,7 +34,7 @@
     suspects: CrashSuspects = field(factory=CrashSuspects)
     watch: ServerWatch = field(factory=ServerWatch)
     live_vms: Callable[[], Iterable[str]] = tuple
-    tell: Callable[[tuple[Finding, ...]], None] = lambda findings: None
+    notify_peers: Callable[[tuple[Finding, ...]], None] = lambda findings: None
     observe: Callable[[object], None] = lambda event: None
 
     def __attrs_post_init__(self) -> None:
@@ -75,7 +75,7 @@
 
     def note_answered(self, fingerprint: int) -> None:
         """Clear a request that a server has answered whole."""
-        self._tell(self.suspects.answered(fingerprint, now_unix_s()))
+        self._notify(self.suspects.answered(fingerprint, now_unix_s()))
 
     async def note_closed(self, server: BackendServer, fingerprint: int) -> None:
         """Find out whether a server that closed a connection has ended; return once that is judged.
@@ -91,7 +91,7 @@
     def note_crash(self, fingerprint: int, server_key: int) -> None:
         """Take in that a server ended under a request a moment ago."""
         crash = Crash(fingerprint=fingerprint, server_key=server_key, ended_unix_s=now_unix_s())
-        self._tell(self.suspects.note(crash))
+        self._notify(self.suspects.note(crash))
 
     def _note_ended(self, server: BackendServer, fingerprints: tuple[int, ...]) -> None:
         now, key = now_unix_s(), server_key(server)
@@ -99,11 +99,11 @@
         for fingerprint in fingerprints:
             crash = Crash(fingerprint=fingerprint, server_key=key, ended_unix_s=now)
             found += self.suspects.note(crash)
-        self._tell(tuple(found))
+        self._notify(tuple(found))
 
-    def _tell(self, findings: tuple[Finding, ...]) -> None:
+    def _notify(self, findings: tuple[Finding, ...]) -> None:
         if findings:
-            self.tell(findings)
+            self.notify_peers(findings)
 
 
 def server_key(server: BackendServer) -> int:
--- a/src/pomelobarrow/dispatch/dispatcher.py
+++ b/src/pomelobarrow/dispatch/dispatcher.py
@@ -36,17 +36,17 @@
 UNRUN_PAUSE_S = 0.02
 # Repeatable work is late rather than lost: once its quick tries are used up it goes on at the
 # backoff's pace, which can't amplify an overload, until its deadline.
-PATIENT_VERDICTS = frozenset({RetryVerdict.BUDGET, RetryVerdict.ATTEMPTS})
+BACKOFF_VERDICTS = frozenset({RetryVerdict.BUDGET, RetryVerdict.ATTEMPTS})
 
 
 @define(kw_only=True)
-class Tries:
+class AttemptHistory:
     """Hold what the attempts of one request have shown so far."""
 
     states: list[AttemptState] = field(factory=list)
-    bad_servers: set[str] = field(factory=set)
-    bad_peers: set[str] = field(factory=set)
-    bad_regions: set[str] = field(factory=set)
+    excluded_servers: set[str] = field(factory=set)
+    excluded_peers: set[str] = field(factory=set)
+    excluded_regions: set[str] = field(factory=set)
     last_refusal: Refusal | None = None
 
     @property
@@ -59,13 +59,13 @@
         self.states.append(result.state)
         self.last_refusal = result.refusal or self.last_refusal
         if result.peer:
-            self.bad_peers.add(result.peer)
+            self.excluded_peers.add(result.peer)
             # One VM that stops says nothing of its region: left out, home-bound work would be
             # refused although the VM next to it takes it.
             if result.refusal is None or result.refusal.kind is not Kind.DRAINING:
-                self.bad_regions.add(region)
+                self.excluded_regions.add(region)
         elif result.server:
-            self.bad_servers.add(result.server)
+            self.excluded_servers.add(result.server)
 
 
 @define(kw_only=True)
@@ -83,34 +83,34 @@
 
     async def dispatch(self, request: GatewayRequest, sink: AnswerSink) -> Refusal | None:
         """Answer the request whole through the sink, or return why not."""
-        tries = Tries()
+        history = AttemptHistory()
         while True:
             if self.guard.refuses(request.fingerprint):
-                return self._blocked(request, tries)
+                return self._blocked_refusal(request, history)
             try:
-                region, result = await self._attempt(request, sink, tries)
+                region, result = await self._attempt(request, sink, history)
             except RefusedError as error:
-                return self._final(error.refusal, tries)
-            tries.observe(region, result)
+                return self._final_refusal(error.refusal, history)
+            history.observe(region, result)
             if result.is_finished:
                 self._budget(request.work).observe_success()
                 return None
             if result.head_passed:
-                return await self._break_off(sink, result)
-            refusal = await self._pause_or_refuse(request, result, tries)
+                return await self._abort(sink, result)
+            refusal = await self._pause_or_refuse(request, result, history)
             if refusal is not None:
-                return self._final(refusal, tries)
+                return self._final_refusal(refusal, history)
 
-    def _blocked(self, request: GatewayRequest, tries: Tries) -> Refusal:
+    def _blocked_refusal(self, request: GatewayRequest, history: AttemptHistory) -> Refusal:
         work = request.work
-        return self.guard.refusal(work.request_id, work.pool, request.fingerprint, tries.run)
+        return self.guard.refusal(work.request_id, work.pool, request.fingerprint, history.run)
 
-    def choose(self, work: Work, bad_regions: set[str]) -> RegionChoice:
+    def choose(self, work: Work, excluded_regions: set[str]) -> RegionChoice:
         """Return where such work would go now."""
         now = now_unix_s()
         loads = dict(self.forwarder.region_loads(work))
         loads[self.own_region] = self.own_load(work, now)
-        for region in bad_regions:
+        for region in excluded_regions:
             loads.pop(region, None)
         return choose_region(work, self.own_region, loads, self.share, now, self.rng)
 
@@ -129,21 +129,21 @@
         )
 
     async def _attempt(
-        self, request: GatewayRequest, sink: AnswerSink, tries: Tries
+        self, request: GatewayRequest, sink: AnswerSink, history: AttemptHistory
     ) -> tuple[str, AttemptResult]:
-        region = self._region(request, tries)
+        region = self._region(request, history)
         attempt = Attempt()
         request.attempts.append(attempt)
-        number = len(tries.states) + 1
+        number = len(history.states) + 1
         request = request.for_attempt(number)
         if region == self.own_region:
-            excluded = frozenset(tries.bad_servers)
+            excluded = frozenset(history.excluded_servers)
             return region, await self.local.run(request, attempt, number, excluded, sink)
-        excluded = frozenset(tries.bad_peers)
+        excluded = frozenset(history.excluded_peers)
         result = await self.forwarder.forward_to_region(region, request, attempt, sink, excluded)
         return region, result
 
-    def _region(self, request: GatewayRequest, tries: Tries) -> str:
+    def _region(self, request: GatewayRequest, history: AttemptHistory) -> str:
         """Return the region to try; a forwarded request stays here whatever the views say."""
         work = request.work
         if request.forwarded_by is not None:
@@ -152,12 +152,12 @@
                     refuse(Kind.HOME_UNREACHABLE, Run.NO, "this VM is outside the home region")
                 )
             return self.own_region
-        choice = self.choose(work, tries.bad_regions)
-        if choice.region is None and self._is_home_unheard(work, tries):
+        choice = self.choose(work, history.excluded_regions)
+        if choice.region is None and self._is_home_load_unknown(work, history):
             choice = RegionChoice(region=work.home_region, reason=RegionReason.HOME_IS_FIRST)
         if choice.region is None:
-            raise RefusedError(self._no_region(work, choice))
-        if not tries.states:
+            raise RefusedError(self._no_region_refusal(work, choice))
+        if not history.states:
             self.share.record(work.class_name, choice.region != work.home_region)
         if choice.region != self.own_region:
             self.observe(
@@ -165,17 +165,17 @@
             )
         return choice.region
 
-    def _is_home_unheard(self, work: Work, tries: Tries) -> bool:
+    def _is_home_load_unknown(self, work: Work, history: AttemptHistory) -> bool:
         """Tell whether home's load was never heard, as on a VM that has just started.
 
         Taken for a lost home, its work was refused although home would run it. The forward finds
         out at once whether an entry VM there can be reached.
         """
-        if work.home_region == self.own_region or work.home_region in tries.bad_regions:
+        if work.home_region == self.own_region or work.home_region in history.excluded_regions:
             return False
         return work.home_region not in self.forwarder.region_loads(work)
 
-    def _no_region(self, work: Work, choice: RegionChoice) -> Refusal:
+    def _no_region_refusal(self, work: Work, choice: RegionChoice) -> Refusal:
         now = now_unix_s()
         retry_at_unix_s = retry_after_unix_s(self.local.expected_wait_s(work), now, self.rng)
         kind = Kind.NO_CAPACITY
@@ -184,14 +184,14 @@
         return refuse(kind, Run.NO, choice.reason.value, retry_at_unix_s)
 
     async def _pause_or_refuse(
-        self, request: GatewayRequest, result: AttemptResult, tries: Tries
+        self, request: GatewayRequest, result: AttemptResult, history: AttemptHistory
     ) -> Refusal | None:
         work, now = request.work, now_unix_s()
         if result.refusal is not None and result.refusal.kind is Kind.CRASHES_SERVERS:
-            return evolve(result.refusal, run=tries.run)
-        if tries.run is Run.UNKNOWN and not self.guard.may_repeat(request.fingerprint):
+            return evolve(result.refusal, run=history.run)
+        if history.run is Run.UNKNOWN and not self.guard.may_repeat(request.fingerprint):
             return refuse(Kind.OUTCOME_UNKNOWN, Run.UNKNOWN, result.detail)
-        if not may_try_again(tries.states, work.repeatable):
+        if not may_try_again(history.states, work.repeatable):
             return refuse(Kind.OUTCOME_UNKNOWN, Run.UNKNOWN, result.detail)
         if request.forwarded_by is not None and result.refusal is not None:
             return result.refusal
@@ -199,58 +199,60 @@
         # its caller from an entry VM that reaches home; once home has had it, it is tried on.
         if (
             work.home_bound
-            and set(tries.states) == {AttemptState.NOT_SENT}
+            and set(history.states) == {AttemptState.NOT_SENT}
             and _is_home_lost(result)
         ):
             return result.refusal
-        verdict = retry_verdict(work, tries.run, len(tries.states), self._budget(work), 0.0, now)
+        verdict = retry_verdict(
+            work, history.run, len(history.states), self._budget(work), 0.0, now
+        )
         if verdict is RetryVerdict.RETRY:
             await asyncio.sleep(UNRUN_PAUSE_S)
             return None
-        if verdict in PATIENT_VERDICTS and work.repeatable:
-            return await self._back_off(work, tries)
-        return self._given_up(work, result, tries, verdict)
+        if verdict in BACKOFF_VERDICTS and work.repeatable:
+            return await self._back_off(work, history)
+        return self._exhausted_refusal(work, result, history, verdict)
 
-    async def _back_off(self, work: Work, tries: Tries) -> Refusal | None:
-        pause_s = min(BACKOFF_CEILING_S, BACKOFF_FLOOR_S * 2 ** len(tries.states))
+    async def _back_off(self, work: Work, history: AttemptHistory) -> Refusal | None:
+        pause_s = min(BACKOFF_CEILING_S, BACKOFF_FLOOR_S * 2 ** len(history.states))
         pause_s *= self.rng.uniform(0.5, 1.0)
         now = now_unix_s()
         if now + pause_s >= work.deadline_unix_s:
-            return self._out_of_time(work, tries)
+            return self._deadline_refusal(work, history)
         await asyncio.sleep(pause_s)
-        tries.bad_servers.clear()
-        tries.bad_peers.clear()
-        tries.bad_regions.clear()
+        history.excluded_servers.clear()
+        history.excluded_peers.clear()
+        history.excluded_regions.clear()
         return None
 
-    def _out_of_time(self, work: Work, tries: Tries) -> Refusal:
+    def _deadline_refusal(self, work: Work, history: AttemptHistory) -> Refusal:
         """Name what held the work up and, where nothing ran, when to come back."""
         now = now_unix_s()
         retry_at_unix_s = retry_after_unix_s(self.local.expected_wait_s(work), now, self.rng)
-        if tries.run is Run.NO and tries.last_refusal is not None:
-            return evolve(tries.last_refusal, retry_at_unix_s=retry_at_unix_s)
+        if history.run is Run.NO and history.last_refusal is not None:
+            return evolve(history.last_refusal, retry_at_unix_s=retry_at_unix_s)
         detail = "the retries reached the deadline"
-        return refuse(Kind.DEADLINE_PASSED, tries.run, detail, retry_at_unix_s)
+        return refuse(Kind.DEADLINE_PASSED, history.run, detail, retry_at_unix_s)
 
-    def _given_up(
-        self, work: Work, result: AttemptResult, tries: Tries, verdict: RetryVerdict
+    def _exhausted_refusal(
+        self, work: Work, result: AttemptResult, history: AttemptHistory, verdict: RetryVerdict
     ) -> Refusal:
-        if tries.last_refusal is not None:
-            return tries.last_refusal
+        if history.last_refusal is not None:
+            return history.last_refusal
         if verdict is RetryVerdict.DEADLINE:
-            return refuse(Kind.DEADLINE_PASSED, tries.run, result.detail)
+            return refuse(Kind.DEADLINE_PASSED, history.run, result.detail)
         now = now_unix_s()
         retry_at_unix_s = retry_after_unix_s(self.local.expected_wait_s(work), now, self.rng)
-        kind = Kind.NO_CAPACITY if tries.run is Run.NO else Kind.OUTCOME_UNKNOWN
-        return refuse(kind, tries.run, f"{verdict.value}: {result.detail}", retry_at_unix_s)
+        kind = Kind.NO_CAPACITY if history.run is Run.NO else Kind.OUTCOME_UNKNOWN
+        return refuse(kind, history.run, f"{verdict.value}: {result.detail}", retry_at_unix_s)
 
-    def _final(self, refusal: Refusal, tries: Tries) -> Refusal:
+    def _final_refusal(self, refusal: Refusal, history: AttemptHistory) -> Refusal:
         """Never say "not run" where an earlier attempt may have run."""
-        if refusal.run is Run.NO and tries.run is Run.UNKNOWN:
+        if refusal.run is Run.NO and history.run is Run.UNKNOWN:
             return refuse(Kind.OUTCOME_UNKNOWN, Run.UNKNOWN, refusal.detail)
         return refusal
 
-    async def _break_off(self, sink: AnswerSink, result: AttemptResult) -> Refusal:
+    async def _abort(self, sink: AnswerSink, result: AttemptResult) -> Refusal:
         refusal = refuse(Kind.OUTCOME_UNKNOWN, Run.UNKNOWN, result.detail)
         await sink.abort(refusal)
         return refusal
--- a/src/pomelobarrow/dispatch/entry.py
+++ b/src/pomelobarrow/dispatch/entry.py
@@ -45,7 +45,7 @@
             return await self._counted("entry", request, partial(self._dispatch, sink=sink))
         finally:
             release = partial(self.limits.release, account.name)
-            self.claims.after_run(request.work.request_id, release)
+            self.claims.call_after_run(request.work.request_id, release)
 
     async def _over_limit(
         self, request: GatewayRequest, refusal: Refusal, sink: AnswerSink
--- a/src/pomelobarrow/dispatch/local.py
+++ b/src/pomelobarrow/dispatch/local.py
@@ -76,22 +76,22 @@
         sink: AnswerSink,
     ) -> AttemptResult:
         """Wait for a place, run one attempt there and give the place back."""
-        self._check_room(request.work)
-        wanted = self._with_own_place(request.work)
-        placement = await self._wait_for_place(wanted, excluded)
+        self._refuse_if_unservable(request.work)
+        queued = self._with_unique_id(request.work)
+        placement = await self._wait_for_placement(queued, excluded)
         work, server = request.work, placement.server
         self.table.prefixes.observe_placement(server.name, work.prefix_hashes)
         try:
-            await self._let_cancellations_in()
+            await self._process_pending_cancellations()
             self._refuse_blocked(request)
             result = await self.run_attempt(
-                request, placement, attempt, number, sink, lambda: self._started(wanted)
+                request, placement, attempt, number, sink, lambda: self._started(queued)
             )
         finally:
-            self.table.release(wanted.request_id, now_unix_s())
+            self.table.release(queued.request_id, now_unix_s())
             self.place_waiting(work.pool)
-        self._judge_server(result)
-        await self._note_whether_ended(request, placement, result)
+        self._mark_server(result)
+        await self._record_server_end(request, placement, result)
         if result.is_finished and result.output_tokens:
             self.output_estimate.observe(work.class_name, result.output_tokens)
         self.observe(
@@ -101,14 +101,14 @@
         )
         return result
 
-    def _with_own_place(self, work: Work) -> Work:
+    def _with_unique_id(self, work: Work) -> Work:
         """Return the work under a name that no other run of the same request has.
 
         A forward that was lost comes again, maybe before its first run here has ended.
         """
         return evolve(work, request_id=f"{work.request_id}#{next(self._serial)}")
 
-    async def _let_cancellations_in(self) -> None:
+    async def _process_pending_cancellations(self) -> None:
         """Read what the sockets hold before anything is sent.
 
         A process that was frozen wakes with requests whose callers have long left, and would
@@ -118,7 +118,7 @@
         for _ in range(LOOP_STEPS_BEFORE_SENDING):
             await asyncio.sleep(0)
 
-    async def _note_whether_ended(
+    async def _record_server_end(
         self, request: GatewayRequest, placement: Placement, result: AttemptResult
     ) -> None:
         """Learn whether a server ended under a request, or answered it."""
@@ -150,7 +150,7 @@
         drain_per_s = max(self.table.drain_per_s(work.pool, now), MIN_DRAIN_PER_S)
         return ahead * max(1.0 / drain_per_s, queue.s_per_ahead(work.rank, now))
 
-    def _check_room(self, work: Work) -> None:
+    def _refuse_if_unservable(self, work: Work) -> None:
         refusal = refuse_unservable(
             work,
             queue=self.queue(work.pool),
@@ -169,7 +169,7 @@
         while self._waiters and self._place_next(queue, now):
             pass
 
-    async def until_work_waits(self) -> None:
+    async def wait_for_work(self) -> None:
         """Return once a request waits for a place."""
         if not self._waiters:
             self._has_waiting.clear()
@@ -179,12 +179,12 @@
         """Refuse at once what can no longer finish, then place what has room."""
         now = now_unix_s()
         for pool, queue in self.queues.items():
-            for work in queue.expired(now, self._least_service_s):
+            for work in queue.expired(now, self._min_service_s):
                 self._refuse_expired(work)
             if self._waiters:
                 self.place_waiting(pool)
 
-    def _least_service_s(self, work: Work) -> float:
+    def _min_service_s(self, work: Work) -> float:
         """Return the seconds that work needs once it is placed, or it is refused as too late.
 
         Started late, trial work was cut off at its deadline: its caller had half an answer and the
@@ -219,7 +219,7 @@
         is_other_left = any(server.name not in excluded for server in usable)
         return excluded if is_other_left else frozenset()
 
-    async def _wait_for_place(self, work: Work, excluded: frozenset[str]) -> Placement:
+    async def _wait_for_placement(self, work: Work, excluded: frozenset[str]) -> Placement:
         placed: asyncio.Future[Placement] = asyncio.get_running_loop().create_future()
         waiter = Waiter(excluded=excluded, placed=placed)
         self._waiters[work.request_id] = waiter
@@ -229,10 +229,10 @@
         try:
             return await placed
         except asyncio.CancelledError:
-            self._abandon(work, placed)
+            self._withdraw(work, placed)
             raise
 
-    def _abandon(self, work: Work, placed: "asyncio.Future[Placement]") -> None:
+    def _withdraw(self, work: Work, placed: "asyncio.Future[Placement]") -> None:
         """Leave the queue; a place given in the same loop step goes to the next."""
         self._waiters.pop(work.request_id, None)
         self.queue(work.pool).remove(work.request_id)
@@ -253,7 +253,7 @@
     def _started(self, work: Work) -> None:
         self.table.started(work.request_id, now_unix_s())
 
-    def _judge_server(self, result: AttemptResult) -> None:
+    def _mark_server(self, result: AttemptResult) -> None:
         verdict = {
             AttemptState.FINISHED: self.table.mark_ok,
             AttemptState.NOT_SENT: self.table.mark_failed,
@@ -275,6 +275,6 @@
     async def _sweep(self) -> None:
         while not self.should_stop:
             # Twenty wake-ups a second with nothing to do cost a sixth of an idle VM's budget.
-            await self._local.until_work_waits()
+            await self._local.wait_for_work()
             self._local.sweep()
             await asyncio.sleep(SWEEP_EVERY_S)
--- a/src/pomelobarrow/dispatch/plugin.py
+++ b/src/pomelobarrow/dispatch/plugin.py
@@ -81,7 +81,7 @@
         suspects=context.get(CrashSuspects),
         watch=context.get(ServerWatch),
         live_vms=lambda: [member.vm for member in view.live(now_unix_s=now_unix_s())],
-        tell=context.get(CrashNews).tell,
+        notify_peers=context.get(CrashNews).tell,
         observe=context.observe,
     )
 
--- a/src/pomelobarrow/dispatch/recording.py
+++ b/src/pomelobarrow/dispatch/recording.py
@@ -31,7 +31,7 @@
         """Keep and pass on."""
         self._head = head
         if self._sink is not None:
-            await self._passing(self._sink.head(head))
+            await self._forward(self._sink.head(head))
 
     async def chunk(self, data: bytes) -> None:
         """Keep while there is room, and pass on."""
@@ -41,19 +41,19 @@
         else:
             self._parts.clear()
         if self._sink is not None:
-            await self._passing(self._sink.chunk(data))
+            await self._forward(self._sink.chunk(data))
 
     async def end(self) -> None:
         """Pass on."""
         if self._sink is not None:
-            await self._passing(self._sink.end())
+            await self._forward(self._sink.end())
 
     async def abort(self, refusal: Refusal) -> None:
         """Pass on."""
         if self._sink is not None:
-            await self._passing(self._sink.abort(refusal))
+            await self._forward(self._sink.abort(refusal))
 
-    async def _passing(self, step: Coroutine[None, None, None]) -> None:
+    async def _forward(self, step: Coroutine[None, None, None]) -> None:
         try:
             await step
         except CallerGoneError:
--- a/src/pomelobarrow/dispatch/refusals.py
+++ b/src/pomelobarrow/dispatch/refusals.py
@@ -24,7 +24,7 @@
 
 # What passes by itself gets a time to come back even where no wait could be estimated: a caller
 # without one asks again at once, and again.
-PAUSE_S_BY_KIND = {
+RETRY_AFTER_S_BY_KIND = {
     Kind.OVERLOADED: 1.0,
     Kind.NO_CAPACITY: 1.0,
     Kind.HOME_UNREACHABLE: 1.0,
@@ -38,8 +38,8 @@
     kind: Kind, run: Run, detail: str, retry_at_unix_s: float | None = None, remedy: str = ""
 ) -> Refusal:
     """Return a refusal with the remedy and the time to come back that belong to its kind."""
-    if retry_at_unix_s is None and kind in PAUSE_S_BY_KIND:
-        retry_at_unix_s = now_unix_s() + PAUSE_S_BY_KIND[kind]
+    if retry_at_unix_s is None and kind in RETRY_AFTER_S_BY_KIND:
+        retry_at_unix_s = now_unix_s() + RETRY_AFTER_S_BY_KIND[kind]
     return Refusal(
         kind=kind,
         run=run,
--- a/src/pomelobarrow/relay/answer.py
+++ b/src/pomelobarrow/relay/answer.py
@@ -23,7 +23,7 @@
         """Say whether a part of the answer has been passed on."""
         return self.response is not None
 
-    async def whole(self, status: int, headers: Headers, body: bytes) -> None:
+    async def send_complete(self, status: int, headers: Headers, body: bytes) -> None:
         """Pass on a complete answer."""
         response = web.Response(status=status, headers=CIMultiDict(headers), body=body)
         await self._prepare(response)
@@ -31,7 +31,7 @@
 
     async def pass_on(self, answer: WholeAnswer) -> None:
         """Pass on a backend server's complete answer."""
-        await self.whole(answer.head.status, answer.head.headers, answer.body)
+        await self.send_complete(answer.head.status, answer.head.headers, answer.body)
 
     async def open(self, status: int, headers: Headers) -> None:
         """Begin a stream; its head leaves with the first events."""
--- a/src/pomelobarrow/relay/attempt.py
+++ b/src/pomelobarrow/relay/attempt.py
@@ -39,7 +39,7 @@
 
 
 @frozen(kw_only=True)
-class Patience:
+class FirstAnswerTimeout:
     """Say how long to wait for a server's first answer, and whether another may be tried then.
 
     Asked only when the time has passed: many requests wait for one server at a time, and what was
@@ -47,7 +47,7 @@
     attempt left to them, would fail where waiting may still bring an answer.
     """
 
-    lasts_s: float
+    limit_s: float
     may_give_up: Callable[[], bool]
 
 
@@ -63,14 +63,14 @@
     on_first_answer: Callable[[ServerAnswerHead], None]
     on_pause: Callable[[float], None] = lambda pause_s: None
     on_head: Callable[[ServerAnswerHead], None] = lambda head: None
-    patience: Patience | None = None
+    first_answer_timeout: FirstAnswerTimeout | None = None
     state: Attempt = field(factory=Attempt)
     first_answer_unix_s: float | None = None
     # The longest time between two events, for logs.
     longest_pause_s: float = 0.0
     _last_events_unix_s: float | None = field(default=None, init=False)
-    _giving_up: asyncio.Timeout | None = field(default=None, init=False)
-    _alarm: asyncio.TimerHandle | None = field(default=None, init=False)
+    _timeout_scope: asyncio.Timeout | None = field(default=None, init=False)
+    _timer: asyncio.TimerHandle | None = field(default=None, init=False)
 
     @property
     def is_surely_unrun(self) -> bool:
@@ -81,32 +81,32 @@
         """Send once; nothing is sent again below this level."""
         self.splitter.restart()
         try:
-            async with asyncio.timeout(None) as self._giving_up:
-                self._set_alarm()
+            async with asyncio.timeout(None) as self._timeout_scope:
+                self._start_timer()
                 return await self._exchange()
         except LOST as error:
             return self._lost(repr(error), is_closed=not isinstance(error, TimeoutError))
         finally:
-            self._stop_alarm()
+            self._cancel_timer()
 
-    def _set_alarm(self) -> None:
-        if self.patience is not None:
+    def _start_timer(self) -> None:
+        if self.first_answer_timeout is not None:
             loop = asyncio.get_running_loop()
-            self._alarm = loop.call_later(self.patience.lasts_s, self._lose_patience)
+            self._timer = loop.call_later(self.first_answer_timeout.limit_s, self._on_time_limit)
 
-    def _stop_alarm(self) -> None:
-        if self._alarm is not None:
-            self._alarm.cancel()
-            self._alarm = None
+    def _cancel_timer(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
 
-    def _lose_patience(self) -> None:
+    def _on_time_limit(self) -> None:
         """Give up on a silent server where another may be tried now, else wait on."""
-        assert self.patience is not None
-        assert self._giving_up is not None
-        if self.patience.may_give_up():
-            self._giving_up.reschedule(asyncio.get_running_loop().time())
+        assert self.first_answer_timeout is not None
+        assert self._timeout_scope is not None
+        if self.first_answer_timeout.may_give_up():
+            self._timeout_scope.reschedule(asyncio.get_running_loop().time())
         else:
-            self._set_alarm()
+            self._start_timer()
 
     async def _exchange(self) -> AttemptReport:
         request = self.request
@@ -177,7 +177,7 @@
     def _note_first_answer(self, head: ServerAnswerHead) -> None:
         if self.first_answer_unix_s is None:
             self.first_answer_unix_s = now_unix_s()
-            self._stop_alarm()
+            self._cancel_timer()
             self.state.apply(AttemptEvent.FIRST_BYTE)
             self.on_first_answer(head)
 
@@ -215,4 +215,4 @@
 def _unrun_end(head: ServerAnswerHead) -> AttemptEnd:
     if head.is_blocked:
         return AttemptEnd.BLOCKED
-    return AttemptEnd.TURNED_BACK if head.is_unsent else AttemptEnd.REFUSED
+    return AttemptEnd.REFUSED_UNSENT if head.is_unsent else AttemptEnd.REFUSED
--- a/src/pomelobarrow/relay/directory.py
+++ b/src/pomelobarrow/relay/directory.py
@@ -14,10 +14,10 @@
 
 # Some clients keep an answer three times as long: the sooner it ends, the sooner they learn of a VM
 # that is gone.
-GOOD_FOR_S = 1.0
+ANSWER_VALID_S = 1.0
 MAX_ADDRESSES = 16
 # With fewer VMs in the client's failure domain the others of its region are named too.
-ENOUGH_NEAR = 2
+MIN_SAME_DOMAIN = 2
 
 
 @define(kw_only=True)
@@ -45,7 +45,7 @@
         if not members:
             return web.Response(status=503)
         addresses = [member.caller_address for member in members]
-        body = self.wire.directory_answer(addresses, GOOD_FOR_S)
+        body = self.wire.directory_answer(addresses, ANSWER_VALID_S)
         return web.Response(body=body, content_type="application/json")
 
     async def readiness(self, incoming: web.BaseRequest) -> web.StreamResponse:
@@ -60,19 +60,19 @@
         that has no VM left the client is sent to a home.
         """
         members = list(self.view.entries_for_callers(now_unix_s=now_unix_s))
-        near = [member for member in members if member.region == query.region]
-        same_domain = [m for m in near if m.failure_domain == query.failure_domain]
-        if len(same_domain) >= ENOUGH_NEAR:
+        same_region = [member for member in members if member.region == query.region]
+        same_domain = [m for m in same_region if m.failure_domain == query.failure_domain]
+        if len(same_domain) >= MIN_SAME_DOMAIN:
             return same_domain
         homes = self._homes(query.host)
-        found = near or _within(homes, members)
+        found = same_region or _within(homes, members)
         if found or not homes:
             return found or members
         # Of another region's VMs some are only heard of every few seconds.
         at_home = _within(homes, list(self.view.usable_entries(now_unix_s=now_unix_s)))
-        return at_home or self._stopping(query.region, homes, now_unix_s) or members
+        return at_home or self._stopping_members(query.region, homes, now_unix_s) or members
 
-    def _stopping(self, region: str, homes: set[str], now_unix_s: float) -> list[Member]:
+    def _stopping_members(self, region: str, homes: set[str], now_unix_s: float) -> list[Member]:
         """Return the VMs of the client's region, else of its homes, that still serve late clients.
 
         While a region's VMs are replaced one after the other, all of them may be stopping at a
--- a/src/pomelobarrow/relay/directory_log.py
+++ b/src/pomelobarrow/relay/directory_log.py
@@ -11,9 +11,9 @@
 
 # A caller states its own place. Far more places than any fleet has come from a faulty caller, and
 # are not followed.
-MAX_PLACES = 64
+MAX_LOCATIONS = 64
 
-Place = tuple[str, str]
+ClientLocation = tuple[str, str]
 
 
 @define(kw_only=True)
@@ -22,19 +22,19 @@
 
     view: MembershipView
     observe: Callable[[object], None]
-    _named: dict[Place, frozenset[str]] = field(factory=dict, init=False)
+    _named: dict[ClientLocation, frozenset[str]] = field(factory=dict, init=False)
 
     def note(self, query: DirectoryQuery, members: Iterable[Member], now_unix_s: float) -> None:
         """Report an answer that names other VMs than the last one for its place."""
-        place = (query.region, query.failure_domain)
-        named = {member.vm: self._heard_age_s(member, now_unix_s) for member in members}
-        if self._named.get(place) == named.keys():
+        location = (query.region, query.failure_domain)
+        named = {member.vm: self._last_seen_age_s(member, now_unix_s) for member in members}
+        if self._named.get(location) == named.keys():
             return
-        if place not in self._named and len(self._named) >= MAX_PLACES:
+        if location not in self._named and len(self._named) >= MAX_LOCATIONS:
             return
-        self._named[place] = frozenset(named)
+        self._named[location] = frozenset(named)
         left_out = {
-            member.vm: self._heard_age_s(member, now_unix_s)
+            member.vm: self._last_seen_age_s(member, now_unix_s)
             for member in self.view.known()
             if member.region == query.region and member.vm not in named
         }
@@ -47,6 +47,6 @@
             )
         )
 
-    def _heard_age_s(self, member: Member, now_unix_s: float) -> float:
+    def _last_seen_age_s(self, member: Member, now_unix_s: float) -> float:
         is_own = member.vm == self.view.own_vm
         return 0.0 if is_own else round(now_unix_s - self.view.heard_unix_s(member.vm), 3)
--- a/src/pomelobarrow/relay/event_splitter.py
+++ b/src/pomelobarrow/relay/event_splitter.py
@@ -31,13 +31,13 @@
     def feed(self, data: bytes) -> bytes:
         """Return the whole events that these bytes complete."""
         data = self._partial + data
-        border = data.rfind(SEPARATOR) + len(SEPARATOR)
-        if border < len(SEPARATOR):
+        boundary = data.rfind(SEPARATOR) + len(SEPARATOR)
+        if boundary < len(SEPARATOR):
             self._partial = data
             return b""
-        self._partial = data[border:]
-        whole = data[:border]
-        last_start = whole.rfind(SEPARATOR, 0, border - len(SEPARATOR))
+        self._partial = data[boundary:]
+        whole = data[:boundary]
+        last_start = whole.rfind(SEPARATOR, 0, boundary - len(SEPARATOR))
         last = whole[last_start + len(SEPARATOR) :] if last_start >= 0 else whole
         self.last_event_id = self.event_id(last) or self.last_event_id
         return whole
--- a/src/pomelobarrow/relay/front.py
+++ b/src/pomelobarrow/relay/front.py
@@ -28,7 +28,7 @@
 # A VM that starts again listens a moment before it has read its lists. After a loss of power all
 # clients come in that moment: refused, each comes back late, where the lists take a few reads of
 # some milliseconds. A store that doesn't answer must not hold callers for longer than this.
-HOLD_AT_START_S = 0.3
+STARTUP_WAIT_S = 0.3
 CHECK_EVERY_S = 0.02
 REMEDY_REQUEST = "send the request as the interface describes it"
 
@@ -44,7 +44,7 @@
     is_draining: Callable[[], bool]
     planned_stop: PlannedStop = field(factory=PlannedStop)
     # Whether this VM has heard which backend servers there are.
-    knows_servers: Callable[[], bool] = lambda: True
+    has_server_list: Callable[[], bool] = lambda: True
 
     async def from_client(self, incoming: web.BaseRequest) -> web.StreamResponse:
         """Answer a client."""
@@ -59,7 +59,7 @@
 
     async def _serve(self, incoming: web.BaseRequest, forwarded_by: str) -> web.StreamResponse:
         accepted_unix_s = now_unix_s()
-        routing = await self._routing_once_known(accepted_unix_s)
+        routing = await self._wait_for_routing(accepted_unix_s)
         if routing is None:
             refusal = refuse(Kind.NOT_READY, Run.NO, "no configuration yet")
             return await self._refuse(incoming, refusal)
@@ -71,16 +71,16 @@
         if isinstance(body, Err):
             return await self._refuse(incoming, body.err_value)
         request = self._request(incoming, head, route, forwarded_by, accepted_unix_s, body.ok_value)
-        if not self.planned_stop.leaves_time_for(request.work, accepted_unix_s):
+        if not self.planned_stop.can_finish(request.work, accepted_unix_s):
             return await self._refuse(incoming, _stops_too_soon(accepted_unix_s))
         sink = ClientAnswer(incoming, closes=self.is_draining())
         await self.relay.answer(request, routing, sink)
         return sink.response or _closed(incoming)
 
-    async def _routing_once_known(self, accepted_unix_s: float) -> Routing | None:
+    async def _wait_for_routing(self, accepted_unix_s: float) -> Routing | None:
         """Return what is published, waiting a moment where this VM has just started."""
-        give_up_unix_s = accepted_unix_s + HOLD_AT_START_S
-        while self.routing() is None or not self.knows_servers():
+        give_up_unix_s = accepted_unix_s + STARTUP_WAIT_S
+        while self.routing() is None or not self.has_server_list():
             if now_unix_s() >= give_up_unix_s:
                 break
             await asyncio.sleep(CHECK_EVERY_S)
@@ -89,9 +89,9 @@
     def _read(
         self, incoming: web.BaseRequest, routing: Routing, forwarded_by: str
     ) -> Result[tuple[RequestHead, Route], Refusal]:
-        readable = check_text(incoming.raw_path, incoming.headers)
-        if isinstance(readable, Err):
-            return readable
+        checked = check_text(incoming.raw_path, incoming.headers)
+        if isinstance(checked, Err):
+            return checked
         if not incoming.raw_path.startswith("/"):
             return Err(_malformed("the target is no path"))
         route = routing.find(incoming.headers.get("Host", ""), _path(incoming.raw_path))
--- a/src/pomelobarrow/relay/health_monitor.py
+++ b/src/pomelobarrow/relay/health_monitor.py
@@ -16,8 +16,8 @@
 SLOWNESS_BASE_S = 0.1
 # A server that hasn't begun to answer by then has lost the request or its answer, or hangs: this
 # many times what the route's answers take of late, and no sooner than the floor.
-PATIENCE_FACTOR = 4.0
-PATIENCE_FLOOR_S = 0.3
+TIME_LIMIT_FACTOR = 4.0
+MIN_TIME_LIMIT_S = 0.3
 # A queue that was known when the request was sent may take this many times as long as expected.
 # Without it, requests behind a queue were given up and sent to the next server's queue: work thrown
 # away just where there is too much of it, and failures once the bound on repeats was reached.
@@ -69,8 +69,8 @@
         if verdict:
             self.outliers.forget(server.incarnation)
             self.table.eject(server.name, now_unix_s)
-        is_news = server.incarnation not in self._ejected
-        if is_news and self.table.is_ejected(server.name, now_unix_s):
+        is_first_report = server.incarnation not in self._ejected
+        if is_first_report and self.table.is_ejected(server.name, now_unix_s):
             self._ejected.add(server.incarnation)
             self.observe(
                 ServerEjected(server=server.name, pool=server.pool, detail=verdict or detail)
@@ -78,20 +78,20 @@
 
 
 @define
-class FirstAnswers:
+class FirstAnswerTimes:
     """Hold how long each route's first answers take of late."""
 
-    _usual_s: dict[str, float] = field(factory=dict)
+    _mean_s: dict[str, float] = field(factory=dict)
 
-    def learn(self, route: str, took_s: float) -> None:
+    def observe(self, route: str, took_s: float) -> None:
         """Take in one first answer."""
-        usual_s = self._usual_s.setdefault(route, took_s)
-        self._usual_s[route] = usual_s + FIRST_ANSWER_WEIGHT * (took_s - usual_s)
+        mean_s = self._mean_s.setdefault(route, took_s)
+        self._mean_s[route] = mean_s + FIRST_ANSWER_WEIGHT * (took_s - mean_s)
 
     def time_limit_s(self, route: str, expected_wait_s: float) -> float:
         """Return within what time a server should have begun to answer."""
-        usual_s = max(PATIENCE_FLOOR_S, PATIENCE_FACTOR * self._usual_s.get(route, 0.0))
-        return usual_s + QUEUE_FACTOR * expected_wait_s
+        mean_s = max(MIN_TIME_LIMIT_S, TIME_LIMIT_FACTOR * self._mean_s.get(route, 0.0))
+        return mean_s + QUEUE_FACTOR * expected_wait_s
 
 
 def _has_failed(report: AttemptReport) -> bool:
--- a/src/pomelobarrow/relay/listeners.py
+++ b/src/pomelobarrow/relay/listeners.py
@@ -35,7 +35,7 @@
 
 
 @define(eq=False)
-class _Open:
+class _OpenListener:
     server: web.Server
     socket: asyncio.Server
 
@@ -47,7 +47,7 @@
         super().__init__()
         self._listeners = listeners
         self._in_progress = in_progress
-        self._opened: list[_Open] = []
+        self._opened: list[_OpenListener] = []
 
     async def on_start(self) -> None:
         """Open all sockets."""
@@ -70,7 +70,7 @@
             socket = await loop.create_server(
                 server, host, int(port), backlog=BACKLOG, reuse_address=True
             )
-            self._opened.append(_Open(server, socket))
+            self._opened.append(_OpenListener(server, socket))
             log.info("listening", purpose=listener.name, address=listener.address)
 
     async def wait_until_idle(self, since_unix_s: float, until_unix_s: float) -> None:
--- a/src/pomelobarrow/relay/messages.py
+++ b/src/pomelobarrow/relay/messages.py
@@ -138,7 +138,7 @@
     # Nothing was sent.
     NOT_SENT = "not sent"
     # A peer refused it and sent it to no server.
-    TURNED_BACK = "turned back"
+    REFUSED_UNSENT = "turned back"
     # A peer refused it, as servers ended under such requests, and sent it to no server.
     BLOCKED = "blocked"
     # The server says that it did not run the request.
--- a/src/pomelobarrow/relay/next_step.py
+++ b/src/pomelobarrow/relay/next_step.py
@@ -6,7 +6,7 @@
 
 from pomelobarrow.relay.messages import AttemptEnd, AttemptReport, RelayRequest, WholeAnswer
 
-REACHED_NO_SERVER = frozenset({AttemptEnd.NOT_SENT, AttemptEnd.TURNED_BACK})
+REACHED_NO_SERVER = frozenset({AttemptEnd.NOT_SENT, AttemptEnd.REFUSED_UNSENT})
 # Nothing was sent, so that trying again can't run anything twice; a region that is cut off would
 # else be tried until the deadline.
 MAX_UNSENT = 3
@@ -31,7 +31,7 @@
 
 
 @define(kw_only=True)
-class Tries:
+class AttemptHistory:
     """Hold what the attempts of one request have shown so far."""
 
     request: RelayRequest
@@ -77,26 +77,26 @@
         return is_allowed and self.attempts_left > 0
 
 
-def wants_retry(tries: Tries, report: AttemptReport) -> bool:
+def should_retry(history: AttemptHistory, report: AttemptReport) -> bool:
     """Say whether another attempt could do better."""
     if report.end in REACHED_NO_SERVER:
-        return tries.unsent < MAX_UNSENT
+        return history.unsent < MAX_UNSENT
     if report.end is AttemptEnd.ANSWERED:
         assert report.answer is not None
         is_failure = report.answer.head.status >= FIRST_SERVER_ERROR_STATUS
-        return is_failure and tries.may_send_again
-    return report.end in _WORTH_AGAIN and tries.may_send_again
+        return is_failure and history.may_send_again
+    return report.end in _RETRYABLE and history.may_send_again
 
 
-def last_step(tries: Tries, is_started: bool) -> Step:
+def final_step(history: AttemptHistory, is_started: bool) -> Step:
     """Return what the client gets when there is no further attempt."""
     if is_started:
         return Step.BREAK_OFF
-    if tries.is_blocked:
+    if history.is_blocked:
         return Step.BLOCK
-    if tries.failure is not None:
+    if history.failure is not None:
         return Step.PASS_ON
-    return Step.FAIL if tries.may_have_run else Step.REFUSE
+    return Step.FAIL if history.may_have_run else Step.REFUSE
 
 
-_WORTH_AGAIN = frozenset({AttemptEnd.REFUSED, AttemptEnd.LOST})
+_RETRYABLE = frozenset({AttemptEnd.REFUSED, AttemptEnd.LOST})
--- a/src/pomelobarrow/relay/planned_stop.py
+++ b/src/pomelobarrow/relay/planned_stop.py
@@ -20,14 +20,16 @@
     unrun.
     """
 
-    choosy_from_unix_s: float = math.inf
+    selective_from_unix_s: float = math.inf
     finish_by_unix_s: float = math.inf
 
     def begin(self, late_clients_until_unix_s: float, finish_by_unix_s: float) -> None:
         """Note when a planned stop no longer owes late clients its service, and when it ends."""
-        self.choosy_from_unix_s = late_clients_until_unix_s - SIGNAL_LAG_S
+        self.selective_from_unix_s = late_clients_until_unix_s - SIGNAL_LAG_S
         self.finish_by_unix_s = finish_by_unix_s
 
-    def leaves_time_for(self, work: Work, now_unix_s: float) -> bool:
+    def can_finish(self, work: Work, now_unix_s: float) -> bool:
         """Say whether work that is taken now has come to its end when this process ends."""
-        return now_unix_s < self.choosy_from_unix_s or work.deadline_unix_s <= self.finish_by_unix_s
+        return (
+            now_unix_s < self.selective_from_unix_s or work.deadline_unix_s <= self.finish_by_unix_s
+        )
--- a/src/pomelobarrow/relay/plugin.py
+++ b/src/pomelobarrow/relay/plugin.py
@@ -18,7 +18,7 @@
 from pomelobarrow.kernel.settings import RelaySettings
 from pomelobarrow.peers.region_loads import RegionLoads
 from pomelobarrow.published.keyspaces import VMS, PublishedState
-from pomelobarrow.relay.directory import GOOD_FOR_S, RelayDirectory
+from pomelobarrow.relay.directory import ANSWER_VALID_S, RelayDirectory
 from pomelobarrow.relay.front import RelayFront
 from pomelobarrow.relay.health_monitor import ServerHealthMonitor
 from pomelobarrow.relay.listeners import Listener, RelayListeners
@@ -29,7 +29,7 @@
 MAX_BODY_BYTES = 4 << 20
 # Clients keep the directory's answer three times as long as it is good, and open connections to
 # the VMs it named until then.
-LATE_CLIENTS_S = 3 * GOOD_FOR_S
+LATE_CLIENTS_S = 3 * ANSWER_VALID_S
 # The last of a planned stop: closing the sockets and leaving the peers.
 CLOSING_S = 1.0
 
@@ -135,7 +135,7 @@
         routing=lambda: _routing(context),
         is_draining=lambda: context.is_draining,
         planned_stop=context.get(PlannedStop),
-        knows_servers=lambda: context.get(PublishedState).copies[VMS].observed_revision > 0,
+        has_server_list=lambda: context.get(PublishedState).copies[VMS].observed_revision > 0,
     )
 
 
--- a/src/pomelobarrow/relay/progress.py
+++ b/src/pomelobarrow/relay/progress.py
@@ -7,7 +7,7 @@
 from pomelobarrow.relay.answer import ClientAnswer
 from pomelobarrow.relay.event_splitter import EventSplitter
 from pomelobarrow.relay.messages import RelayRequest
-from pomelobarrow.relay.next_step import Tries
+from pomelobarrow.relay.next_step import AttemptHistory
 
 
 @define(kw_only=True)
@@ -17,13 +17,13 @@
     request: RelayRequest
     sink: ClientAnswer
     routing: Routing
-    tries: Tries
+    history: AttemptHistory
     splitter: EventSplitter
     excluded: Excluded = field(factory=Excluded)
     first_answer_unix_s: float | None = None
     # The longest time between two events so far.
     longest_pause_s: float = 0.0
     # Whether one more arrival at a server is counted already.
-    has_repeat: bool = False
+    is_repeat_reserved: bool = False
     # The wait that was too long when nobody could get the request; 0 where there is no server.
-    nowhere_wait_s: float = 0.0
+    unplaced_wait_s: float = 0.0
--- a/src/pomelobarrow/relay/relay.py
+++ b/src/pomelobarrow/relay/relay.py
@@ -24,9 +24,9 @@
 from pomelobarrow.dispatch.refusals import refuse
 from pomelobarrow.kernel.clock import now_unix_s
 from pomelobarrow.relay.answer import ClientAnswer
-from pomelobarrow.relay.attempt import Patience, RelayAttempt, Target
+from pomelobarrow.relay.attempt import FirstAnswerTimeout, RelayAttempt, Target
 from pomelobarrow.relay.event_splitter import EventSplitter
-from pomelobarrow.relay.health_monitor import FirstAnswers, ServerHealthMonitor
+from pomelobarrow.relay.health_monitor import FirstAnswerTimes, ServerHealthMonitor
 from pomelobarrow.relay.hop import peer_target, refusal_headers
 from pomelobarrow.relay.messages import (
     AttemptEnd,
@@ -34,7 +34,13 @@
     RelayRequest,
     ServerAnswerHead,
 )
-from pomelobarrow.relay.next_step import REACHED_NO_SERVER, Step, Tries, last_step, wants_retry
+from pomelobarrow.relay.next_step import (
+    REACHED_NO_SERVER,
+    AttemptHistory,
+    Step,
+    final_step,
+    should_retry,
+)
 from pomelobarrow.relay.progress import RequestProgress
 from pomelobarrow.relay.relay_log import RelayLog
 from pomelobarrow.relay.wire import RelayWire, ServerCallOptions
@@ -65,7 +71,7 @@
     log: RelayLog = field(init=False)
     in_progress: int = 0
     retry_line: RetryLine = field(factory=RetryLine)
-    first_answers: FirstAnswers = field(factory=FirstAnswers)
+    first_answer_times: FirstAnswerTimes = field(factory=FirstAnswerTimes)
 
     def __attrs_post_init__(self) -> None:
         self.log = RelayLog(
@@ -81,7 +87,7 @@
             request=request,
             sink=sink,
             routing=routing,
-            tries=Tries(request=request),
+            history=AttemptHistory(request=request),
             splitter=EventSplitter(
                 event_id=self.wire.event_id, last_event_id=request.head.last_event_id
             ),
@@ -100,40 +106,40 @@
         left_s = progress.request.work.deadline_unix_s - now_unix_s()
         try:
             async with asyncio.timeout(max(0.0, left_s)):
-                step = await self._try_all(progress)
+                step = await self._run_attempts(progress)
         except TimeoutError:
-            progress.tries.last_detail = "the time was up"
-            step = last_step(progress.tries, progress.sink.is_started)
+            progress.history.last_detail = "the time was up"
+            step = final_step(progress.history, progress.sink.is_started)
         return await self._conclude(progress, step)
 
-    async def _try_all(self, progress: RequestProgress) -> Step:
+    async def _run_attempts(self, progress: RequestProgress) -> Step:
         while True:
             if self.guard.refuses(progress.request.fingerprint):
-                progress.tries.is_blocked = True
-                return last_step(progress.tries, progress.sink.is_started)
+                progress.history.is_blocked = True
+                return final_step(progress.history, progress.sink.is_started)
             decision = self.placer.place(
                 progress.request.for_placement, progress.routing, progress.excluded, now_unix_s()
             )
             if isinstance(decision, Nowhere) and await self._wait_for_limit(progress, decision):
                 continue
             if isinstance(decision, Nowhere):
-                progress.tries.last_detail = progress.tries.last_detail or decision.reason
-                progress.nowhere_wait_s = decision.wait_s
-                self.log.nowhere(progress, decision)
-                return last_step(progress.tries, progress.sink.is_started)
+                progress.history.last_detail = progress.history.last_detail or decision.reason
+                progress.unplaced_wait_s = decision.wait_s
+                self.log.not_placed(progress, decision)
+                return final_step(progress.history, progress.sink.is_started)
             report = await self._send(progress, decision)
-            progress.tries.note(report)
+            progress.history.note(report)
             progress.longest_pause_s = max(progress.longest_pause_s, report.longest_pause_s)
             if report.end is AttemptEnd.PASSED_ON:
                 return Step.DONE
-            if wants_retry(progress.tries, report) and self._may_repeat(progress, report):
+            if should_retry(progress.history, report) and self._may_repeat(progress, report):
                 continue
             # In the middle of a stream an answer of its own would be read as a part of its body.
             if report.end is AttemptEnd.ANSWERED and not progress.sink.is_started:
                 assert report.answer is not None
                 await progress.sink.pass_on(report.answer)
                 return Step.DONE
-            return last_step(progress.tries, progress.sink.is_started)
+            return final_step(progress.history, progress.sink.is_started)
 
     async def _wait_for_limit(self, progress: RequestProgress, decision: Nowhere) -> bool:
         """Wait until a server's own limit lets a request through, where that may be in time."""
@@ -149,17 +155,19 @@
     def _may_repeat(self, progress: RequestProgress, report: AttemptReport) -> bool:
         if report.end in REACHED_NO_SERVER:
             return True
-        if progress.tries.may_have_run and not self.guard.may_repeat(progress.request.fingerprint):
+        if progress.history.may_have_run and not self.guard.may_repeat(
+            progress.request.fingerprint
+        ):
             return False
-        had_repeat, progress.has_repeat = progress.has_repeat, False
-        return had_repeat or self._take_repeat(progress)
+        was_reserved, progress.is_repeat_reserved = progress.is_repeat_reserved, False
+        return was_reserved or self._take_repeat(progress)
 
     def _take_repeat(self, progress: RequestProgress) -> bool:
         live_vms = len(self.placer.members.live)
         return self.retries.take_repeat(progress.request.work.pool, live_vms, now_unix_s())
 
     async def _send(self, progress: RequestProgress, decision: OnServer | OnPeer) -> AttemptReport:
-        progress.tries.attempts += 1
+        progress.history.attempts += 1
         self.log.placed(progress, decision)
         if isinstance(decision, OnServer):
             return await self._send_to_server(progress, decision.placement)
@@ -172,7 +180,7 @@
         work, now = request.work, now_unix_s()
         tokens = prefill_tokens(work, placement.cached_tokens)
         kv_tokens = tokens + work.expected_output_tokens
-        if not progress.tries.was_sent:
+        if not progress.history.was_sent:
             self.retries.note_first(work.pool, now)
         self.placer.note_placed(server, now)
         table.prefixes.observe_placement(server.name, work.prefix_hashes)
@@ -193,19 +201,19 @@
             report = await self._run(
                 progress,
                 target,
-                patience=self._patience(progress, placement),
-                on_pause=self._pause_watch(progress, server.name),
-                on_head=lambda head: self._note_said(server, head),
+                first_answer_timeout=self._first_answer_timeout(progress, placement),
+                on_pause=self._pause_observer(progress, server.name),
+                on_head=lambda head: self._record_server_state(server, head),
             )
         finally:
             table.release(work.request_id, now_unix_s())
         self.monitor.monitor(server, report, placement.expected_wait_s, now)
-        await self._note_whether_ended(progress, server, report)
+        await self._record_server_end(progress, server, report)
         if report.end is not AttemptEnd.PASSED_ON:
             progress.excluded.servers.add(server.name)
         return report
 
-    async def _note_whether_ended(
+    async def _record_server_end(
         self, progress: RequestProgress, server: BackendServer, report: AttemptReport
     ) -> None:
         """Learn whether a server ended under a request, or answered it."""
@@ -213,11 +221,11 @@
         if report.is_closed:
             await self.guard.note_closed(server, request.fingerprint)
             if self.guard.has_ended(server, request.fingerprint):
-                progress.tries.ended_server_key = server_key(server)
+                progress.history.ended_server_key = server_key(server)
         elif report.end in (AttemptEnd.PASSED_ON, AttemptEnd.ANSWERED):
             self.guard.note_answered(request.fingerprint)
 
-    def _note_told(self, request: RelayRequest, head: ServerAnswerHead) -> None:
+    def _record_peer_crash(self, request: RelayRequest, head: ServerAnswerHead) -> None:
         """Take in that a peer's server ended under a request."""
         if head.ended_server_key is not None:
             self.guard.note_crash(request.fingerprint, head.ended_server_key)
@@ -232,7 +240,7 @@
             self.wire,
         )
         report = await self._run(
-            progress, target, on_head=lambda head: self._note_told(progress.request, head)
+            progress, target, on_head=lambda head: self._record_peer_crash(progress.request, head)
         )
         if report.end is AttemptEnd.NOT_SENT:
             self.placer.members.note_unreached(decision.member.vm, now_unix_s())
@@ -240,12 +248,12 @@
             self.placer.members.reach.note_reached(decision.member.vm)
         if report.end is not AttemptEnd.PASSED_ON:
             progress.excluded.peers.add(decision.member.vm)
-        if report.end in (AttemptEnd.REFUSED, AttemptEnd.TURNED_BACK):
-            self._exclude_place(progress, decision)
+        if report.end in (AttemptEnd.REFUSED, AttemptEnd.REFUSED_UNSENT):
+            self._exclude_refusing_target(progress, decision)
         return report
 
     @staticmethod
-    def _exclude_place(progress: RequestProgress, decision: OnPeer) -> None:
+    def _exclude_refusing_target(progress: RequestProgress, decision: OnPeer) -> None:
         """Leave out the server of a coordinator that refused, else the peer's region."""
         if decision.server:
             progress.excluded.servers.add(decision.server)
@@ -256,21 +264,23 @@
         """Return the last event that the client has of this answer."""
         return progress.splitter.last_event_id if progress.sink.is_started else ""
 
-    def _patience(self, progress: RequestProgress, placement: Placement) -> Patience | None:
+    def _first_answer_timeout(
+        self, progress: RequestProgress, placement: Placement
+    ) -> FirstAnswerTimeout | None:
         """Return how long to wait for a silent server, None where no other could be tried."""
         route = progress.request.route
         is_suspect = not self.guard.may_repeat(progress.request.fingerprint)
-        if not route.is_repeatable or is_suspect or progress.tries.attempts_left < 2:
+        if not route.is_repeatable or is_suspect or progress.history.attempts_left < 2:
             return None
 
         def take_repeat() -> bool:
-            progress.has_repeat = self._take_repeat(progress)
-            return progress.has_repeat
+            progress.is_repeat_reserved = self._take_repeat(progress)
+            return progress.is_repeat_reserved
 
-        time_limit_s = self.first_answers.time_limit_s(route.name, placement.expected_wait_s)
-        return Patience(lasts_s=time_limit_s, may_give_up=take_repeat)
+        time_limit_s = self.first_answer_times.time_limit_s(route.name, placement.expected_wait_s)
+        return FirstAnswerTimeout(limit_s=time_limit_s, may_give_up=take_repeat)
 
-    def _note_said(self, server: BackendServer, head: ServerAnswerHead) -> None:
+    def _record_server_state(self, server: BackendServer, head: ServerAnswerHead) -> None:
         """Take in what a server says of itself with an answer."""
         table = self.placer.table
         record_advertised_limit(table, server, head.limit_per_s, head.limit_header, self.observe)
@@ -278,16 +288,16 @@
         if head.counts is None or not table.is_current(server):
             return
         now = now_unix_s()
-        glimpse = LoadReport(
+        partial_report = LoadReport(
             server=server.name,
             measured_unix_s=now,
             running=head.counts.running,
             waiting=head.counts.waiting,
             is_glimpse=True,
         )
-        table.observe_glimpse(glimpse, now)
+        table.observe_glimpse(partial_report, now)
 
-    def _pause_watch(self, progress: RequestProgress, server: str) -> Callable[[float], None]:
+    def _pause_observer(self, progress: RequestProgress, server: str) -> Callable[[float], None]:
         """Return what learns from the pauses of a stream."""
         gap_target_s, pauses = progress.request.work.gap_target_s, self.placer.table.pauses
 
@@ -301,7 +311,7 @@
         self,
         progress: RequestProgress,
         target: Target,
-        patience: Patience | None = None,
+        first_answer_timeout: FirstAnswerTimeout | None = None,
         on_pause: Callable[[float], None] = lambda pause_s: None,
         on_head: Callable[[ServerAnswerHead], None] = lambda head: None,
     ) -> AttemptReport:
@@ -311,7 +321,7 @@
         def note_first_answer(head: ServerAnswerHead) -> None:
             progress.first_answer_unix_s = progress.first_answer_unix_s or now_unix_s()
             took_s = now_unix_s() - started_unix_s
-            self.first_answers.learn(progress.request.route.name, took_s)
+            self.first_answer_times.observe(progress.request.route.name, took_s)
             self.placer.table.started(progress.request.work.request_id, now_unix_s())
 
         attempt = RelayAttempt(
@@ -323,13 +333,13 @@
             on_first_answer=note_first_answer,
             on_pause=on_pause,
             on_head=on_head,
-            patience=patience,
+            first_answer_timeout=first_answer_timeout,
         )
         try:
             report = await attempt.run()
         except BaseException:
             # Whoever cancels has to know whether the server may have got the request.
-            progress.tries.may_have_run |= not attempt.is_surely_unrun
+            progress.history.may_have_run |= not attempt.is_surely_unrun
             raise
         finally:
             self.log.attempt(progress, target, report, started_unix_s)
@@ -343,50 +353,54 @@
             progress.sink.break_off()
             return "broken off"
         if step is Step.PASS_ON:
-            assert progress.tries.failure is not None
-            await progress.sink.pass_on(progress.tries.failure)
+            assert progress.history.failure is not None
+            await progress.sink.pass_on(progress.history.failure)
             return "answered"
         refusal = self._refusal(progress, step)
         request_id = progress.request.work.request_id
-        await self.refuse(refusal, request_id, progress.sink, progress.tries)
+        await self.refuse(refusal, request_id, progress.sink, progress.history)
         return "refused" if refusal.run is Run.NO else "failed"
 
     def _refusal(self, progress: RequestProgress, step: Step) -> Refusal:
-        work, detail = progress.request.work, progress.tries.last_detail
+        work, detail = progress.request.work, progress.history.last_detail
         if step is Step.BLOCK:
-            run = Run.UNKNOWN if progress.tries.may_have_run else Run.NO
+            run = Run.UNKNOWN if progress.history.may_have_run else Run.NO
             return self.guard.refusal(work.request_id, work.pool, progress.request.fingerprint, run)
         if step is Step.FAIL:
             is_late = now_unix_s() >= work.deadline_unix_s
             kind = Kind.DEADLINE_PASSED if is_late else Kind.OUTCOME_UNKNOWN
             return refuse(kind, Run.UNKNOWN, detail)
         now = now_unix_s()
-        if progress.tries.attempts and not progress.nowhere_wait_s:
+        if progress.history.attempts and not progress.unplaced_wait_s:
             pause_s = MIN_RETRY_AFTER_S * self.rng.uniform(1.0, 1.0 + RETRY_JITTER)
             return refuse(Kind.NO_CAPACITY, Run.NO, detail, now + pause_s)
         # Without any server the queue's pace says nothing; that lasts longer than a full one does.
-        wait_s = progress.nowhere_wait_s or max(0.0, work.deadline_unix_s - now)
-        taken_per_s = self.placer.table.drain_per_s(work.pool, now) / self._vms_here
+        wait_s = progress.unplaced_wait_s or max(0.0, work.deadline_unix_s - now)
+        taken_per_s = self.placer.table.drain_per_s(work.pool, now) / self._local_vms
         retry_at = retry_at_unix_s(
             self.retry_line, wait_s, taken_per_s, work.deadline_unix_s, now, self.rng
         )
         return refuse(Kind.NO_CAPACITY, Run.NO, detail, retry_at)
 
     @property
-    def _vms_here(self) -> int:
+    def _local_vms(self) -> int:
         members = self.placer.members.live
         return max(1, sum(member.region == self.own_region for member in members))
 
     async def refuse(
-        self, refusal: Refusal, request_id: str, sink: ClientAnswer, tries: Tries | None = None
+        self,
+        refusal: Refusal,
+        request_id: str,
+        sink: ClientAnswer,
+        history: AttemptHistory | None = None,
     ) -> None:
         """Answer in this system's own name."""
-        was_sent = tries is not None and tries.was_sent
-        ended_server_key = tries.ended_server_key if tries is not None else None
+        was_sent = history is not None and history.was_sent
+        ended_server_key = history.ended_server_key if history is not None else None
         run_headers = refusal_headers(refusal, was_sent, ended_server_key)
         headers = (PROBLEM_CONTENT_TYPE, *run_headers)
         if refusal.retry_at_unix_s is not None:
             pause_s = max(0.0, refusal.retry_at_unix_s - now_unix_s())
             headers += (("Retry-After", f"{pause_s:.2f}"),)
         body = orjson.dumps(problem_body(refusal, request_id))
-        await sink.whole(refusal.kind.status, headers, body)
+        await sink.send_complete(refusal.kind.status, headers, body)
--- a/src/pomelobarrow/relay/relay_log.py
+++ b/src/pomelobarrow/relay/relay_log.py
@@ -46,7 +46,7 @@
                 route=progress.request.route.name,
                 pool=work.pool,
                 routing_version=progress.routing.version,
-                attempt=progress.tries.attempts,
+                attempt=progress.history.attempts,
                 target=target,
                 target_region=region,
                 reason=decision.reason,
@@ -61,7 +61,7 @@
             )
         )
 
-    def nowhere(self, progress: RequestProgress, decision: Nowhere) -> None:
+    def not_placed(self, progress: RequestProgress, decision: Nowhere) -> None:
         """Report that nobody may get a request now."""
         work, table, now = progress.request.work, self.table, now_unix_s()
         listed = table.pool_servers(work.pool)
@@ -72,7 +72,7 @@
                 route=progress.request.route.name,
                 pool=work.pool,
                 routing_version=progress.routing.version,
-                attempts=progress.tries.attempts,
+                attempts=progress.history.attempts,
                 reason=decision.reason,
                 expected_wait_s=decision.wait_s,
                 servers_listed=len(listed),
@@ -100,7 +100,7 @@
                 request_id=progress.request.work.request_id,
                 route=progress.request.route.name,
                 pool=progress.request.work.pool,
-                attempt=progress.tries.attempts,
+                attempt=progress.history.attempts,
                 target=target.name,
                 end=report.end.value,
                 status=report.answer.head.status if report.answer else 0,
@@ -121,9 +121,9 @@
                 fingerprint=readable(progress.request.fingerprint),
                 outcome=outcome,
                 status=progress.sink.status,
-                detail=progress.tries.last_detail,
+                detail=progress.history.last_detail,
                 routing_version=progress.routing.version,
-                attempts=progress.tries.attempts,
+                attempts=progress.history.attempts,
                 forwarded_by=progress.request.forwarded_by,
                 took_s=now_unix_s() - work.accepted_unix_s,
                 first_answer_s=_since(work.accepted_unix_s, first_unix_s),
--- a/tests/test_dispatch_claims.py
+++ b/tests/test_dispatch_claims.py
@@ -136,9 +136,9 @@
     first.cancel()
     await steps()
     over: list[str] = []
-    claimed.after_run(request_id, lambda: over.append("first"))
+    claimed.call_after_run(request_id, lambda: over.append("first"))
     repeat = await claimed.dispatch(request_of(request_id), Sink())
-    claimed.after_run(request_id, lambda: over.append("repeat"))
+    claimed.call_after_run(request_id, lambda: over.append("repeat"))
     assert repeat is not None
     assert repeat.kind is Kind.STILL_RUNNING
     assert over == ["repeat"]
--- a/tests/test_dispatch_crashing_request.py
+++ b/tests/test_dispatch_crashing_request.py
@@ -147,5 +147,5 @@
     request = request_of(True)
     placement = Placement(server=table.pool_servers("p")[0], expected_wait_s=0.0)
     late = evolve(request, work=evolve(request.work, deadline_unix_s=time.time() + left_s))
-    await local._note_whether_ended(late, placement, await lose(late, placement))
+    await local._record_server_end(late, placement, await lose(late, placement))
     assert seen == looked_at
--- a/tests/test_dispatch_refusals.py
+++ b/tests/test_dispatch_refusals.py
@@ -3,15 +3,15 @@
 import pytest
 
 from pomelobarrow.decision.errors import Kind, Run
-from pomelobarrow.dispatch.refusals import PAUSE_S_BY_KIND, refuse
+from pomelobarrow.dispatch.refusals import RETRY_AFTER_S_BY_KIND, refuse
 from pomelobarrow.kernel.clock import now_unix_s
 
 
-@pytest.mark.parametrize("kind", PAUSE_S_BY_KIND, ids=lambda kind: kind.label)
+@pytest.mark.parametrize("kind", RETRY_AFTER_S_BY_KIND, ids=lambda kind: kind.label)
 def test_refusal_that_passes_by_itself_says_when_to_come_back(kind):
     started_unix_s = now_unix_s()
     refusal = refuse(kind, Run.NO, "not now")
-    assert refusal.retry_at_unix_s >= started_unix_s + PAUSE_S_BY_KIND[kind]
+    assert refusal.retry_at_unix_s >= started_unix_s + RETRY_AFTER_S_BY_KIND[kind]
 
 
 def test_estimated_time_goes_before_the_default():
--- a/tests/test_dispatch_sweep.py
+++ b/tests/test_dispatch_sweep.py
@@ -71,7 +71,7 @@
 
 async def waiting(local: LocalDispatch, waits: GatewayRequest) -> "asyncio.Task[Placement]":
     """Return a task that waits for a place."""
-    task = asyncio.create_task(local._wait_for_place(waits.work, frozenset()))
+    task = asyncio.create_task(local._wait_for_placement(waits.work, frozenset()))
     await asyncio.sleep(0)
     local.sweep()
     await asyncio.sleep(0)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -21,7 +21,7 @@
 from pomelobarrow.decision.routing import RouteKind
 from pomelobarrow.kernel.clock import now_unix_s
 from pomelobarrow.relay.events import RelayEnded
-from pomelobarrow.relay.health_monitor import PATIENCE_FLOOR_S
+from pomelobarrow.relay.health_monitor import MIN_TIME_LIMIT_S
 
 IDEMPOTENT = route(RouteKind.IDEMPOTENT, max_attempts=2)
 ONCE = route(RouteKind.NON_IDEMPOTENT)
@@ -235,7 +235,7 @@
         nonlocal arrivals
         arrivals += 1
         if arrivals == 5:
-            await asyncio.sleep(PATIENCE_FLOOR_S)
+            await asyncio.sleep(MIN_TIME_LIMIT_S)
             fifth.set()
         await fifth.wait()
         await answers()(exchange)
--- a/tests/test_relay_health_monitor.py
+++ b/tests/test_relay_health_monitor.py
@@ -10,9 +10,9 @@
 from pomelobarrow.relay import health_monitor
 from pomelobarrow.relay.events import ServerEjected, ServerReadmitted
 from pomelobarrow.relay.health_monitor import (
-    PATIENCE_FLOOR_S,
+    MIN_TIME_LIMIT_S,
     QUEUE_FACTOR,
-    FirstAnswers,
+    FirstAnswerTimes,
     ServerHealthMonitor,
 )
 from pomelobarrow.relay.messages import (
@@ -79,10 +79,10 @@
 
 
 def test_patience_follows_what_a_route_takes() -> None:
-    first = FirstAnswers()
-    assert first.time_limit_s("r", 0.0) == PATIENCE_FLOOR_S
+    first = FirstAnswerTimes()
+    assert first.time_limit_s("r", 0.0) == MIN_TIME_LIMIT_S
     for _ in range(200):
-        first.learn("r", 0.5)
+        first.observe("r", 0.5)
     assert first.time_limit_s("r", 0.0) == 2.0
 
 
@@ -92,6 +92,6 @@
     Given up after 0.4 s, before its turn can have come, its place in the queue is lost, and the
     next server's queue grows by a request that has waited already.
     """
-    first, expected_s = FirstAnswers(), 1.3
-    first.learn("r", 0.1)
+    first, expected_s = FirstAnswerTimes(), 1.3
+    first.observe("r", 0.1)
     assert first.time_limit_s("r", expected_s) > QUEUE_FACTOR * expected_s
