--- a/src/pomelobarrow/relay/__init__.py
+++ b/src/pomelobarrow/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Relay requests as they came: route them, place them on backend servers, pass the answers on."""
+"""Relay requests unchanged: route them, place them on backend servers and forward the answers."""
--- a/src/pomelobarrow/relay/answer.py
+++ b/src/pomelobarrow/relay/answer.py
@@ -1,4 +1,4 @@
-"""Write one relayed request's answer to whoever asked."""
+"""Write the answer to one relayed request to its client."""
 
 from aiohttp import web
 from multidict import CIMultiDict
@@ -9,46 +9,46 @@
 
 
 class ClientAnswer:
-    """Pass an answer on; nothing can be tried elsewhere once it is started."""
+    """Write one answer to the client; no other attempt is possible once it is started."""
 
     def __init__(self, incoming: web.BaseRequest, closes: bool) -> None:
         self.status = 0
         self._incoming = incoming
-        # Whether the connection ends with this answer.
+        # True if the connection is closed after this answer.
         self._closes = closes
         self.response: web.StreamResponse | None = None
 
     @property
     def is_started(self) -> bool:
-        """Say whether a part of the answer has been passed on."""
+        """Return whether any part of the answer has been sent."""
         return self.response is not None
 
     async def send_complete(self, status: int, headers: Headers, body: bytes) -> None:
-        """Pass on a complete answer."""
+        """Send a complete answer."""
         response = web.Response(status=status, headers=CIMultiDict(headers), body=body)
         await self._prepare(response)
         await self._checked(response.write_eof())
 
     async def pass_on(self, answer: WholeAnswer) -> None:
-        """Pass on a backend server's complete answer."""
+        """Send a backend server's complete answer."""
         await self.send_complete(answer.head.status, answer.head.headers, answer.body)
 
     async def open(self, status: int, headers: Headers) -> None:
-        """Begin a stream; its head leaves with the first events."""
+        """Begin a stream; its head is sent together with the first events."""
         await self._prepare(LateHeadResponse(status=status, headers=CIMultiDict(headers)))
 
     async def send(self, data: bytes) -> None:
-        """Pass on the next bytes of a stream."""
+        """Send the next bytes of a stream."""
         assert self.response is not None
         await self._checked(self.response.write(data))
 
     async def finish(self) -> None:
-        """End a stream that is whole."""
+        """End a complete stream."""
         assert self.response is not None
         await self._checked(self.response.write_eof())
 
     def break_off(self) -> None:
-        """Close the connection without the end mark, so that the answer can't look complete."""
+        """Close the connection without the last chunk, so that the answer is visibly incomplete."""
         if self._incoming.transport is not None:
             self._incoming.transport.close()
 
--- a/src/pomelobarrow/relay/attempt.py
+++ b/src/pomelobarrow/relay/attempt.py
@@ -1,4 +1,4 @@
-"""Send a request once, to a backend server or a peer, and bring its answer back."""
+"""Send a request once, to a backend server or a peer, and return its answer."""
 
 import asyncio
 from collections.abc import Callable
@@ -22,14 +22,14 @@
     WholeAnswer,
 )
 
-# aiohttp would add these; the server is to see what the client sent.
+# aiohttp adds these by default; the server must get the client's headers unchanged.
 SKIPPED_AUTO_HEADERS = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
 STATUS_OK = 200
 
 
 @frozen(kw_only=True)
 class Target:
-    """Say where a request is sent, with which headers and how the answer's head reads."""
+    """Describe where to send a request, with which headers, and how to parse the answer's head."""
 
     name: str
     address: str
@@ -40,11 +40,11 @@
 
 @frozen(kw_only=True)
 class FirstAnswerTimeout:
-    """Say how long to wait for a server's first answer, and whether another may be tried then.
+    """Limit the wait for a server's first answer where another server may be tried.
 
-    Asked only when the time has passed: many requests wait for one server at a time, and what was
-    free for each of them when it was sent is enough for a few. The others, given up with no second
-    attempt left to them, would fail where waiting may still bring an answer.
+    `may_give_up` is called only when the limit has passed. Many requests may wait for one server at
+    a time, and the retry budget that each found free when it was sent covers only a few of them. A
+    request given up without a retry left fails, although waiting may still bring an answer.
     """
 
     limit_s: float
@@ -53,7 +53,7 @@
 
 @define(kw_only=True)
 class RelayAttempt:
-    """Hold what one sending of a request has brought so far."""
+    """Send a request to one target and track the state of the answer."""
 
     sessions: BackendSessions
     request: RelayRequest
@@ -66,7 +66,7 @@
     first_answer_timeout: FirstAnswerTimeout | None = None
     state: Attempt = field(factory=Attempt)
     first_answer_unix_s: float | None = None
-    # The longest time between two events, for logs.
+    # The longest time between two events; for logs.
     longest_pause_s: float = 0.0
     _last_events_unix_s: float | None = field(default=None, init=False)
     _timeout_scope: asyncio.Timeout | None = field(default=None, init=False)
@@ -74,11 +74,11 @@
 
     @property
     def is_surely_unrun(self) -> bool:
-        """Say whether the request can't have run in this attempt."""
+        """Return whether the request certainly did not run in this attempt."""
         return self.state.state in UNRUN_STATES
 
     async def run(self) -> AttemptReport:
-        """Send once; nothing is sent again below this level."""
+        """Send the request once; no lower layer retries it."""
         self.splitter.restart()
         try:
             async with asyncio.timeout(None) as self._timeout_scope:
@@ -100,7 +100,7 @@
             self._timer = None
 
     def _on_time_limit(self) -> None:
-        """Give up on a silent server where another may be tried now, else wait on."""
+        """Give up on a silent server if another may be tried now; otherwise keep waiting."""
         assert self.first_answer_timeout is not None
         assert self._timeout_scope is not None
         if self.first_answer_timeout.may_give_up():
@@ -111,8 +111,8 @@
     async def _exchange(self) -> AttemptReport:
         request = self.request
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=self.target.connect_timeout_s)
-        # A kept connection may have been forgotten by the other end, or still hold a late answer
-        # to an earlier request. A new one costs a round trip and has neither fault.
+        # A pooled connection may have been dropped by the other end, or may still carry a late
+        # answer to an earlier request. A new one costs one round trip and avoids both.
         async with self.sessions.fresh.request(
             request.method,
             URL(self.sessions.url(self.target.address, request.target), encoded=True),
@@ -135,14 +135,14 @@
             return await self._read_whole(response, head)
 
     def _fault(self, head: ServerAnswerHead) -> str:
-        """Return why an answer can't be the one to this request, or nothing."""
+        """Return why an answer can't belong to this request; empty if it can."""
         if head.lost_detail:
             return head.lost_detail
-        # A faulty server may send another request's answer, or bytes that only look like one.
+        # A faulty server may send the answer to another request, or bytes that only resemble one.
         if head.request_id != self.request.head.request_id:
-            return "the answer belongs to another request"
+            return "the answer carries the id of another request"
         if head.is_success and not head.is_sealed:
-            return "the answer is not the server's own"
+            return "the successful answer carries no seal of the backend server"
         return ""
 
     async def _read_whole(
@@ -162,14 +162,14 @@
                 continue
             self._note_first_answer(head)
             self._note_pause()
-            # A resumed stream keeps the head that the client already has.
+            # The client already has the head of a resumed stream.
             if not self.sink.is_started:
                 await self.sink.open(head.status, head.headers)
             await self.sink.send(events)
         if not self.splitter.is_between_events:
             return self._lost("the stream ended in the middle of an event")
         if not self.sink.is_started:
-            return self._lost("the stream held no event")
+            return self._lost("the stream ended before its first event")
         await self.sink.finish()
         self.state.apply(AttemptEvent.END)
         return self._report(AttemptEnd.PASSED_ON)
--- a/src/pomelobarrow/relay/directory.py
+++ b/src/pomelobarrow/relay/directory.py
@@ -1,4 +1,4 @@
-"""Tell clients which entry VMs to use, and the platform whether this one is ready."""
+"""Answer clients that look up entry VMs, and the platform's readiness checks."""
 
 from collections.abc import Callable
 
@@ -12,17 +12,17 @@
 from pomelobarrow.relay.directory_log import DirectoryLog
 from pomelobarrow.relay.wire import DirectoryQuery, RelayWire
 
-# Some clients keep an answer three times as long: the sooner it ends, the sooner they learn of a VM
-# that is gone.
+# Some clients keep an answer three times as long as this. A short time lets them drop a VM that has
+# gone soon.
 ANSWER_VALID_S = 1.0
 MAX_ADDRESSES = 16
-# With fewer VMs in the client's failure domain the others of its region are named too.
+# With fewer VMs in the client's failure domain, the answer lists those of its whole region.
 MIN_SAME_DOMAIN = 2
 
 
 @define(kw_only=True)
 class RelayDirectory:
-    """Hold what the directory's answers are made from."""
+    """Answer directory queries and readiness checks from the member table and the routing."""
 
     view: MembershipView
     wire: RelayWire
@@ -35,7 +35,7 @@
         self._log = DirectoryLog(view=self.view, observe=self.observe)
 
     async def answer(self, incoming: web.BaseRequest) -> web.StreamResponse:
-        """Answer a client that asks where to connect."""
+        """Answer a client's query for the addresses to connect to."""
         if incoming.path != self.wire.directory_path:
             return web.Response(status=404)
         query = self.wire.read_directory_query(incoming.query)
@@ -49,15 +49,15 @@
         return web.Response(body=body, content_type="application/json")
 
     async def readiness(self, incoming: web.BaseRequest) -> web.StreamResponse:
-        """Answer the platform's check."""
+        """Answer the platform's readiness check."""
         reason = self.not_ready_reason()
         return web.Response(status=503 if reason else 200, text=f"{reason or 'ready'}\n")
 
     def _members(self, query: DirectoryQuery, now_unix_s: float) -> list[Member]:
         """Return the VMs nearest to a client.
 
-        Work that is bound to other regions is passed on from the client's own one, and only where
-        that has no VM left the client is sent to a home.
+        The client's own region comes first, also for work that is bound to other regions: a VM
+        there forwards it. Only without a VM in that region is the client sent to a home region.
         """
         members = list(self.view.entries_for_callers(now_unix_s=now_unix_s))
         same_region = [member for member in members if member.region == query.region]
@@ -68,16 +68,16 @@
         found = same_region or _within(homes, members)
         if found or not homes:
             return found or members
-        # Of another region's VMs some are only heard of every few seconds.
+        # Heartbeats of some VMs in other regions arrive only every few seconds.
         at_home = _within(homes, list(self.view.usable_entries(now_unix_s=now_unix_s)))
         return at_home or self._stopping_members(query.region, homes, now_unix_s) or members
 
     def _stopping_members(self, region: str, homes: set[str], now_unix_s: float) -> list[Member]:
         """Return the VMs of the client's region, else of its homes, that still serve late clients.
 
-        While a region's VMs are replaced one after the other, all of them may be stopping at a
-        time. Sent to another region, a request that is bound to its homes would only be refused
-        there, after its body has left the regions that it may be in.
+        During a rolling replacement, all VMs of a region may be stopping at the same time. Any
+        other region would only refuse a request that is bound to its home regions, after its body
+        has left the regions that it may be in.
         """
         stopping = list(self.view.leaving_entries_for_callers(now_unix_s))
         return _within({region}, stopping) or _within(homes, stopping)
--- a/src/pomelobarrow/relay/directory_log.py
+++ b/src/pomelobarrow/relay/directory_log.py
@@ -1,4 +1,4 @@
-"""Tell when callers of a failure domain are led to other VMs than before."""
+"""Report when callers of a failure domain are directed to other VMs than before."""
 
 from collections.abc import Callable, Iterable
 
@@ -9,8 +9,8 @@
 from pomelobarrow.relay.events import DirectoryChanged
 from pomelobarrow.relay.wire import DirectoryQuery
 
-# A caller states its own place. Far more places than any fleet has come from a faulty caller, and
-# are not followed.
+# Callers state their own location. More locations than this can only come from a faulty caller; the
+# excess is not tracked.
 MAX_LOCATIONS = 64
 
 ClientLocation = tuple[str, str]
@@ -18,14 +18,14 @@
 
 @define(kw_only=True)
 class DirectoryLog:
-    """Hold whom the callers of each failure domain were led to last."""
+    """Track the VMs last named to the callers of each failure domain and report changes."""
 
     view: MembershipView
     observe: Callable[[object], None]
     _named: dict[ClientLocation, frozenset[str]] = field(factory=dict, init=False)
 
     def note(self, query: DirectoryQuery, members: Iterable[Member], now_unix_s: float) -> None:
-        """Report an answer that names other VMs than the last one for its place."""
+        """Report an answer that names other VMs than the last one for the same location."""
         location = (query.region, query.failure_domain)
         named = {member.vm: self._last_seen_age_s(member, now_unix_s) for member in members}
         if self._named.get(location) == named.keys():
--- a/src/pomelobarrow/relay/event_splitter.py
+++ b/src/pomelobarrow/relay/event_splitter.py
@@ -1,4 +1,4 @@
-"""Cut a stream at the borders of its events."""
+"""Split a byte stream at event boundaries."""
 
 from collections.abc import Callable
 
@@ -9,10 +9,10 @@
 
 @define(kw_only=True)
 class EventSplitter:
-    """Hold the part of an event that has come so far, and the last whole one's id.
+    """Buffer an incomplete event and track the id of the last complete one.
 
-    A server may stop in the middle of an event. Passed on, that part and the event that a resumed
-    stream begins with would be read as one.
+    A server may stop in the middle of an event. If that part were forwarded, the client would read
+    it and the first event of the resumed stream as one event.
     """
 
     event_id: Callable[[bytes], str]
@@ -21,15 +21,15 @@
 
     @property
     def is_between_events(self) -> bool:
-        """Say whether no event is half there."""
+        """Return whether no incomplete event is buffered."""
         return not self._partial
 
     def restart(self) -> None:
-        """Drop the half event of an attempt that broke off."""
+        """Drop the incomplete event of an attempt that broke off."""
         self._partial = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events that these bytes complete."""
+        """Return the events completed by these bytes."""
         data = self._partial + data
         boundary = data.rfind(SEPARATOR) + len(SEPARATOR)
         if boundary < len(SEPARATOR):
--- a/src/pomelobarrow/relay/events.py
+++ b/src/pomelobarrow/relay/events.py
@@ -1,4 +1,4 @@
-"""Events about relayed requests, for logs and metrics."""
+"""Events about relayed requests for logs and metrics."""
 
 from collections.abc import Mapping
 
@@ -7,7 +7,7 @@
 
 @frozen(kw_only=True)
 class RelayPlaced:
-    """Report where a request is sent, and what that was decided on."""
+    """Report where a request is sent and the data behind that decision."""
 
     request_id: str
     route: str
@@ -20,12 +20,12 @@
     reason: str
     expected_first_answer_s: float
     prompt_tokens: int
-    # What others share of the prompt, under the name of its first part, and how much of that the
-    # server is thought to hold.
+    # The group of prompts that share this one's first parts, the tokens that they share, and how
+    # many of these the server is estimated to hold in its cache.
     group: str
     shared_tokens: int
     cached_tokens: int
-    # The mean age of what peers told of their own requests.
+    # The mean age of the load that peers report about their own requests.
     view_age_s: float
     servers_usable: int
     time_left_s: float
@@ -33,7 +33,7 @@
 
 @frozen(kw_only=True)
 class RelayNotPlaced:
-    """Report that nobody may get a request now, and what that was decided on."""
+    """Report that no server or peer may get a request now, and the data behind that decision."""
 
     request_id: str
     route: str
@@ -41,13 +41,13 @@
     routing_version: int
     attempts: int
     reason: str
-    # The wait that was too long; 0 where there is no server at all.
+    # The expected wait that was too long; 0 if there is no server at all.
     expected_wait_s: float
-    # This region's servers of the pool: listed, not ejected nor leaving, and cold.
+    # This region's servers of the pool: listed, usable (neither ejected nor leaving) and cold.
     servers_listed: int
     servers_usable: int
     servers_cold: int
-    # Other regions heard of late, with how many servers of the pool, and whom it has been to.
+    # Servers of the pool in other regions with a recent report, and the targets already excluded.
     servers_elsewhere: dict[str, int]
     excluded: list[str]
     view_age_s: float
@@ -56,7 +56,7 @@
 
 @frozen(kw_only=True)
 class RelayAttemptEnded:
-    """Report how one sending of a request ended."""
+    """Report how one attempt of a request ended."""
 
     request_id: str
     route: str
@@ -73,7 +73,7 @@
 
 @frozen(kw_only=True)
 class ServerEjected:
-    """Report that a server gets no work for a while because it failed."""
+    """Report that a failing server gets no work for a while."""
 
     server: str
     pool: str
@@ -82,7 +82,7 @@
 
 @frozen(kw_only=True)
 class ServerReadmitted:
-    """Report that a server that was ejected has answered."""
+    """Report that an ejected server has answered again."""
 
     server: str
     pool: str
@@ -90,23 +90,23 @@
 
 @frozen(kw_only=True)
 class DirectoryChanged:
-    """Report that callers of a failure domain are led to other VMs than before."""
+    """Report that callers of a failure domain are directed to other VMs than before."""
 
     region: str
     failure_domain: str
-    # Each VM named, with the seconds since it was last heard.
+    # The VMs named, each with the seconds since it was last seen.
     named: Mapping[str, float]
-    # The VMs known in that region that aren't named.
+    # The known VMs of that region that aren't named.
     left_out: Mapping[str, float]
 
 
 @frozen(kw_only=True)
 class RelayEnded:
-    """Report what the client got."""
+    """Report the outcome of a request for its client."""
 
     request_id: str
     route: str
-    # The same for all requests with the same method, path and body.
+    # Equal for all requests with the same method, path and body.
     fingerprint: str
     # "answered", "refused", "failed", "broken off" or "client gone".
     outcome: str
@@ -117,5 +117,5 @@
     forwarded_by: str
     took_s: float
     first_answer_s: float | None
-    # What was later than its target: "first answer", "pause", both or nothing.
+    # What missed its target: "first answer", "pause", both or nothing.
     late_by: str
--- a/src/pomelobarrow/relay/front.py
+++ b/src/pomelobarrow/relay/front.py
@@ -1,4 +1,4 @@
-"""Take requests from clients and peers and hand them to the relay."""
+"""Read and validate requests of clients and peers and hand them to the relay."""
 
 import asyncio
 from collections.abc import Callable
@@ -25,17 +25,18 @@
 from pomelobarrow.relay.relay import Relay
 from pomelobarrow.relay.wire import RelayWire
 
-# A VM that starts again listens a moment before it has read its lists. After a loss of power all
-# clients come in that moment: refused, each comes back late, where the lists take a few reads of
-# some milliseconds. A store that doesn't answer must not hold callers for longer than this.
+# A VM that restarts listens shortly before it has read the configuration and the server list. After
+# a power loss all clients connect in that moment. A refused client comes back late, whereas the
+# lists take a few reads of some milliseconds. If the store doesn't answer, callers wait no longer
+# than this.
 STARTUP_WAIT_S = 0.3
 CHECK_EVERY_S = 0.02
-REMEDY_REQUEST = "send the request as the interface describes it"
+REMEDY_REQUEST = "correct the request as the interface specification describes"
 
 
 @define(kw_only=True)
 class RelayFront:
-    """Hold what the listeners for clients and for peers share."""
+    """Handle the requests of the client and peer listeners."""
 
     own_region: str
     relay: Relay
@@ -43,18 +44,20 @@
     routing: Callable[[], Routing | None]
     is_draining: Callable[[], bool]
     planned_stop: PlannedStop = field(factory=PlannedStop)
-    # Whether this VM has heard which backend servers there are.
+    # Returns whether this VM has received the list of backend servers.
     has_server_list: Callable[[], bool] = lambda: True
 
     async def from_client(self, incoming: web.BaseRequest) -> web.StreamResponse:
-        """Answer a client."""
+        """Answer a client's request."""
         return await self._serve(incoming, "")
 
     async def from_peer(self, incoming: web.BaseRequest) -> web.StreamResponse:
-        """Answer a peer that passes a request on."""
+        """Answer a request that a peer forwards."""
         forwarded_by = read_forwarder(incoming.headers)
         if not forwarded_by:
-            return await self._refuse(incoming, _malformed("the peer that sends it isn't named"))
+            return await self._refuse(
+                incoming, _malformed("the header that names the forwarding peer is missing")
+            )
         return await self._serve(incoming, forwarded_by)
 
     async def _serve(self, incoming: web.BaseRequest, forwarded_by: str) -> web.StreamResponse:
@@ -78,7 +81,7 @@
         return sink.response or _closed(incoming)
 
     async def _wait_for_routing(self, accepted_unix_s: float) -> Routing | None:
-        """Return what is published, waiting a moment where this VM has just started."""
+        """Return the published routing, waiting briefly if this VM has just started."""
         give_up_unix_s = accepted_unix_s + STARTUP_WAIT_S
         while self.routing() is None or not self.has_server_list():
             if now_unix_s() >= give_up_unix_s:
@@ -93,7 +96,7 @@
         if isinstance(checked, Err):
             return checked
         if not incoming.raw_path.startswith("/"):
-            return Err(_malformed("the target is no path"))
+            return Err(_malformed("the request target does not begin with a slash"))
         route = routing.find(incoming.headers.get("Host", ""), _path(incoming.raw_path))
         if route is None:
             return Err(_no_route(forwarded_by))
@@ -160,10 +163,10 @@
     try:
         return Ok(await incoming.read() if incoming.can_read_body else b"")
     except web.HTTPRequestEntityTooLarge:
-        detail = "the body is too large"
-        return Err(refuse(Kind.BODY_TOO_LARGE, Run.NO, detail, remedy="send less"))
+        detail = "the request body is too large"
+        return Err(refuse(Kind.BODY_TOO_LARGE, Run.NO, detail, remedy="send a smaller body"))
     except web.RequestPayloadError:
-        return Err(_malformed("the body's framing is broken"))
+        return Err(_malformed("the framing of the request body is invalid"))
 
 
 def _path(target: str) -> str:
@@ -177,21 +180,22 @@
 def _no_route(forwarded_by: str) -> Refusal:
     """Return the refusal of an unknown route.
 
-    A peer that passed it on knows the route: this VM is behind and must not say that there is none.
+    If a peer forwarded the request, the route exists and this VM's configuration is out of date, so
+    it must not answer that there is no such route.
     """
     if forwarded_by:
-        return refuse(Kind.NOT_READY, Run.NO, "the route is not known here yet")
-    remedy = "ask for a host and path that are published"
-    return refuse(Kind.UNKNOWN_SERVICE, Run.NO, "no route matches", remedy=remedy)
+        return refuse(Kind.NOT_READY, Run.NO, "this VM has not received the route yet")
+    remedy = "use a host and path of a published route"
+    return refuse(Kind.UNKNOWN_SERVICE, Run.NO, "no route matches the host and path", remedy=remedy)
 
 
 def _stops_too_soon(now_unix_s: float) -> Refusal:
-    detail = "this VM stops before it could surely finish"
+    detail = "this VM is stopping and might not finish the request in time"
     return refuse(Kind.DRAINING, Run.NO, detail, now_unix_s + MIN_RETRY_AFTER_S)
 
 
 def _closed(incoming: web.BaseRequest) -> web.StreamResponse:
-    """Close the connection of a client that has left and return what aiohttp wants to see."""
+    """Close the connection of a client that has left; return the response that aiohttp requires."""
     if incoming.transport is not None:
         incoming.transport.close()
     return web.Response(status=499)
@@ -200,5 +204,5 @@
 def request_factory(
     max_body_bytes: int, loop: asyncio.AbstractEventLoop
 ) -> Callable[..., web.BaseRequest]:
-    """Return what builds requests whose bodies may have a certain size."""
+    """Return a factory of requests whose bodies may have at most this size."""
     return partial(web.BaseRequest, loop=loop, client_max_size=max_body_bytes)
--- a/src/pomelobarrow/relay/health_monitor.py
+++ b/src/pomelobarrow/relay/health_monitor.py
@@ -1,4 +1,4 @@
-"""Learn from how attempts end which servers to leave out, and how long a first answer takes."""
+"""Eject failing or slow servers by the outcomes of attempts, and track first-answer times."""
 
 from collections.abc import Callable
 
@@ -12,22 +12,22 @@
 from pomelobarrow.relay.messages import AttemptEnd, AttemptReport
 from pomelobarrow.relay.next_step import FIRST_SERVER_ERROR_STATUS
 
-# Under this, times to the first answer say more of the network than of the server.
+# Shorter times to the first answer depend more on the network than on the server.
 SLOWNESS_BASE_S = 0.1
-# A server that hasn't begun to answer by then has lost the request or its answer, or hangs: this
-# many times what the route's answers take of late, and no sooner than the floor.
+# A server that has not begun to answer within this multiple of the route's recent mean time, and
+# within the minimum, is taken to hang or to have lost the request or its answer.
 TIME_LIMIT_FACTOR = 4.0
 MIN_TIME_LIMIT_S = 0.3
 # A queue that was known when the request was sent may take this many times as long as expected.
-# Without it, requests behind a queue were given up and sent to the next server's queue: work thrown
-# away just where there is too much of it, and failures once the bound on repeats was reached.
+# Without this allowance, queued requests are given up and sent to the next server's queue. That
+# wastes work under overload and causes failures once the retry budget is used up.
 QUEUE_FACTOR = 2.0
 FIRST_ANSWER_WEIGHT = 0.05
 
 
 @define(kw_only=True)
 class ServerHealthMonitor:
-    """Hold which servers were left out and how each compares with the others."""
+    """Eject servers that fail or lag behind the others of their pool, and readmit them."""
 
     table: LoadTable
     observe: Callable[[object], None]
@@ -41,8 +41,8 @@
         expected_s: float,
         sent_unix_s: float,
     ) -> None:
-        """Take in how an attempt ended; a refusal says nothing against a server."""
-        # The incarnation that it was sent to is gone; its successor has done nothing wrong.
+        """Record how an attempt ended; a refusal does not count against a server."""
+        # If that incarnation is gone, its successor must not be charged with the failure.
         if report.end is AttemptEnd.REFUSED or not self.table.is_current(server):
             return
         now = now_unix_s()
@@ -56,7 +56,7 @@
 
     def _note_answer(self, server: BackendServer, now_unix_s: float) -> None:
         self.table.mark_ok(server.name, now_unix_s)
-        # What was under way when the server was left out may still be answered.
+        # A request that was in flight when the server was ejected may still be answered.
         if server.incarnation in self._ejected and not self.table.is_ejected(
             server.name, now_unix_s
         ):
@@ -79,17 +79,17 @@
 
 @define
 class FirstAnswerTimes:
-    """Hold how long each route's first answers take of late."""
+    """Track the recent mean time to the first answer of each route."""
 
     _mean_s: dict[str, float] = field(factory=dict)
 
     def observe(self, route: str, took_s: float) -> None:
-        """Take in one first answer."""
+        """Record the time to one first answer."""
         mean_s = self._mean_s.setdefault(route, took_s)
         self._mean_s[route] = mean_s + FIRST_ANSWER_WEIGHT * (took_s - mean_s)
 
     def time_limit_s(self, route: str, expected_wait_s: float) -> float:
-        """Return within what time a server should have begun to answer."""
+        """Return the time within which a server should begin to answer."""
         mean_s = max(MIN_TIME_LIMIT_S, TIME_LIMIT_FACTOR * self._mean_s.get(route, 0.0))
         return mean_s + QUEUE_FACTOR * expected_wait_s
 
@@ -102,7 +102,7 @@
 
 
 def _slowness(report: AttemptReport, expected_s: float, sent_unix_s: float) -> float | None:
-    """Return the time to the first answer over what was expected of it."""
+    """Return the ratio of the measured to the expected time to the first answer."""
     if report.first_answer_unix_s is None:
         return None
     return (report.first_answer_unix_s - sent_unix_s) / (expected_s + SLOWNESS_BASE_S)
--- a/src/pomelobarrow/relay/hop.py
+++ b/src/pomelobarrow/relay/hop.py
@@ -1,4 +1,4 @@
-"""What VMs tell each other when one passes a request on to a peer in another region."""
+"""Headers exchanged between VMs when one forwards a request to a peer."""
 
 from collections.abc import Callable, Mapping
 
@@ -13,34 +13,34 @@
 
 FROM_HEADER = "Pomelobarrow-Peer-From"
 RUN_HEADER = "Pomelobarrow-Peer-Run"
-# Said in place of "no" by a peer that sent the request to no server. Counted like an attempt, a
-# peer without a free server would use up what the route allows while other regions have some.
+# Sent instead of "no" by a peer that sent the request to no server. If such a refusal counted as an
+# attempt, a peer without a free server would use up the route's attempts while other regions have
+# free servers.
 UNSENT = "unsent"
-# Said by a peer that knows servers to end under such requests.
+# Sent by a peer that refuses the request because servers crashed while they ran such requests.
 BLOCKED = "blocked"
-# Names the server that ended under the request, so that whoever passed it on knows before any news
-# of it comes and asks no other region.
+# Names the server that ended under the request. The VM that forwarded it learns of the crash before
+# any crash update arrives, and tries no other region.
 ENDED_HEADER = "Pomelobarrow-Peer-Server-Ended"
-# Two round trips between the farthest regions, and a lost packet.
+# Allows for two round trips between the farthest regions and one lost packet.
 CONNECT_TIMEOUT_S = 0.6
 SERVER_KEY_MASK = 0xFFFFFFFF
 
 
-# A peer sends a request to one server only. Were it to try again itself, the VM that passed the
-# request on couldn't know how many servers have had it, and would send it to more than the route
-# allows.
+# A peer sends a request to one server only. If it retried by itself, the forwarding VM could not
+# count the servers that got the request and would exceed the route's limit on attempts.
 ATTEMPTS_OF_PEER = 1
 
 
 def read_forwarder(headers: Mapping[str, str]) -> str:
-    """Return the VM that passed a request on, empty where none did."""
+    """Return the VM that forwarded a request; empty if none did."""
     return headers.get(FROM_HEADER, "")
 
 
 def refusal_headers(
     refusal: Refusal, was_sent: bool, ended_server_key: int | None = None
 ) -> Headers:
-    """Return what tells the VM that passed a request on whether it ran, and what it ended."""
+    """Return the headers that state whether a forwarded request ran and which server it ended."""
     run = refusal.run.value
     if refusal.run is Run.NO and not was_sent:
         run = BLOCKED if refusal.kind is Kind.CRASHES_SERVERS else UNSENT
@@ -56,7 +56,7 @@
     resume_after: str,
     wire: RelayWire,
 ) -> Target:
-    """Return how a request is sent to a peer."""
+    """Return the target that sends a request to a peer."""
 
     def headers() -> Headers:
         return wire.peer_headers(request, resume_after) + ((FROM_HEADER, own_vm),)
--- a/src/pomelobarrow/relay/listeners.py
+++ b/src/pomelobarrow/relay/listeners.py
@@ -1,4 +1,4 @@
-"""Listen for clients, peers and the platform's checks, and stop without cutting an answer off."""
+"""Listen for clients, peers and readiness checks, and stop without truncating an answer."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -13,7 +13,7 @@
 from pomelobarrow.relay.front import request_factory
 
 MAX_FIELD_BYTES = 16 << 10
-# Clients reuse connections that rested for most of the published idle time, which is shorter.
+# Longer than the published idle time: clients reuse connections that were idle for most of it.
 KEEPALIVE_S = 75.0
 BACKLOG = 1_024
 LAST_REFUSALS_S = 0.25
@@ -26,7 +26,7 @@
 
 @frozen(kw_only=True)
 class Listener:
-    """Say what is served at an address."""
+    """Describe one listening address and its handler."""
 
     name: str
     address: str
@@ -41,7 +41,7 @@
 
 
 class RelayListeners(Service):
-    """Hold the listening sockets."""
+    """Open and close the listening sockets."""
 
     def __init__(self, listeners: tuple[Listener, ...], in_progress: Callable[[], int]) -> None:
         super().__init__()
@@ -53,8 +53,8 @@
         """Open all sockets."""
         loop = asyncio.get_running_loop()
         for listener in self._listeners:
-            # Without handler_cancellation an answer goes on for a client that has left, and its
-            # server's slot stays taken.
+            # Without handler_cancellation a request goes on after its client has left, and keeps a
+            # slot of its backend server.
             server = web.Server(
                 listener.handler,
                 handler_cancellation=True,
@@ -63,7 +63,7 @@
                 keepalive_timeout=KEEPALIVE_S,
                 max_field_size=MAX_FIELD_BYTES,
                 max_line_size=MAX_FIELD_BYTES,
-                # Bodies go on as they came.
+                # Bodies are forwarded unchanged.
                 auto_decompress=False,
             )
             host, _, port = listener.address.rpartition(":")
@@ -74,7 +74,7 @@
             log.info("listening", purpose=listener.name, address=listener.address)
 
     async def wait_until_idle(self, since_unix_s: float, until_unix_s: float) -> None:
-        """Return once nothing is in progress after a time, or at the latest time."""
+        """Return once nothing is in progress, not before the first time nor after the second."""
         while now_unix_s() < until_unix_s:
             if now_unix_s() >= since_unix_s and not self._in_progress():
                 return
@@ -82,10 +82,10 @@
         log.warning("stopping with work in progress", requests=self._in_progress())
 
     async def close(self) -> None:
-        """Take no more connections; return once every answer has left this process."""
+        """Stop accepting connections; return once every answer has been sent."""
         for each in self._opened:
             each.socket.close()
-        # A connection accepted just before has its request still on the way.
+        # The request of a connection accepted just before may still be in transit.
         await asyncio.sleep(LAST_REFUSALS_S)
         while self._in_progress():
             await asyncio.sleep(IDLE_CHECK_EVERY_S)
@@ -98,6 +98,6 @@
         await flush([each for each in transports if each is not None])
 
     async def on_stop(self) -> None:
-        """Close whatever is still open."""
+        """Close the sockets that are still open."""
         for each in self._opened:
             each.socket.close()
--- a/src/pomelobarrow/relay/messages.py
+++ b/src/pomelobarrow/relay/messages.py
@@ -1,4 +1,4 @@
-"""Requests and answers that are relayed as they came."""
+"""Types of relayed requests, their answers and attempts."""
 
 import enum
 from functools import cached_property
@@ -15,7 +15,7 @@
 
 @frozen(kw_only=True)
 class PromptPart:
-    """Name a part of a prompt, the same in all prompts that share it, and its length."""
+    """Identify a part of a prompt; its id is the same in all prompts that share the part."""
 
     id: str
     tokens: int
@@ -23,37 +23,37 @@
 
 @frozen(kw_only=True)
 class RequestHead:
-    """Hold what the headers of a request say; `headers` go on to the backend server."""
+    """Represent the parsed headers of a request; `headers` are forwarded to the backend server."""
 
     request_id: str
     headers: Headers
-    # What the client is ready to wait; None where it doesn't say.
+    # The time that the client is ready to wait; None if it states none.
     time_limit_s: float | None = None
     model: str | None = None
     prompt_tokens: int = 0
     max_output_tokens: int = 0
     prompt_parts: tuple[PromptPart, ...] = ()
-    # The last event that the client has of a stream that broke off.
+    # The last event that the client has received of a stream that broke off.
     last_event_id: str = ""
 
     @property
     def group(self) -> str:
-        """Return the part that tells prompts with the same shared text from all others.
+        """Return the id of the last shared part, which identifies the group of the prompt.
 
-        The parts before it may be shared by many groups. Named by the first one, a thousand groups
-        of four system prompts would be four, each kept warm in one place that overflows.
+        Earlier parts may be shared by many groups. By the first part, a thousand groups with four
+        system prompts would count as four, each cached on a few servers whose memory overflows.
         """
         return self.prompt_parts[-2].id if len(self.prompt_parts) > 1 else ""
 
     @property
     def shared_tokens(self) -> int:
-        """Return the tokens of the prompt that others share."""
+        """Return the number of prompt tokens shared with other prompts."""
         return sum(part.tokens for part in self.prompt_parts[:-1])
 
 
 @frozen(kw_only=True)
 class RelayRequest:
-    """Hold a request that is being relayed; `target` is its path and query, byte for byte."""
+    """Represent a request that is being relayed; `target` is its path and query, byte for byte."""
 
     head: RequestHead
     route: Route
@@ -62,20 +62,20 @@
     host: str
     target: str
     body: bytes = field(default=b"", repr=False)
-    # The VM that passed it on. Such a request runs here or is refused: were it passed on again,
-    # two VMs with different views could send it in a circle.
+    # The VM that forwarded it. Such a request runs here or is refused: if it were forwarded again,
+    # VMs with different views could send it in a loop.
     forwarded_by: str = ""
-    # How many backend servers it may still be sent to.
+    # The number of backend servers that it may still be sent to.
     attempts_left: int = 1
 
     @cached_property
     def fingerprint(self) -> int:
-        """Return what names this request and those that are the same."""
+        """Return a hash that is equal for requests with the same method, host, target and body."""
         return fingerprint("", self.method, self.host, self.target, self.body)
 
     @property
     def for_placement(self) -> PlacementRequest:
-        """Return what placing needs of it."""
+        """Return the data of this request that placement needs."""
         return PlacementRequest(
             route=self.route,
             work=self.work,
@@ -86,7 +86,7 @@
 
 @frozen(kw_only=True)
 class ServerCounts:
-    """Hold the requests that a backend server says it runs and holds waiting."""
+    """Represent the running and waiting requests that a backend server reports."""
 
     running: int
     waiting: int
@@ -94,39 +94,39 @@
 
 @frozen(kw_only=True)
 class ServerAnswerHead:
-    """Hold the head of a backend server's answer; `headers` go on to the client."""
+    """Represent the head of a backend server's answer; `headers` are forwarded to the client."""
 
     status: int
     headers: Headers
     request_id: str = ""
-    # Whether the server vouches for the answer as its own.
+    # True if the answer carries the seal of the server.
     is_sealed: bool = False
-    # Whether the server says that the request did not run.
+    # True if the server states that the request did not run.
     is_not_run: bool = False
-    # Whether a peer says that it sent the request to no server.
+    # True if a peer states that it sent the request to no server.
     is_unsent: bool = False
-    # Whether a peer says that servers ended under such requests, and that it sent this one to none.
+    # True if a peer refused the request unsent because servers ended under such requests.
     is_blocked: bool = False
-    # The server that a peer says ended under the request, as hashed in what peers tell each other.
+    # The server that ended under the request at a peer, hashed as in crash updates.
     ended_server_key: int | None = None
-    # What the server has before it: requests that run and that wait. None where it doesn't say.
+    # The requests that run and wait at the server; None if it reports none.
     counts: ServerCounts | None = None
-    # The requests a second that it says it takes from all VMs together. None where it names none.
+    # The limit in requests per second, over all VMs, that it states; None if it states none.
     limit_per_s: float | None = None
-    # The header that names it.
+    # The header that states the limit.
     limit_header: str = ""
-    # Why a peer can't say whether the request ran; empty on a backend server's answer.
+    # Why a peer does not state whether the request ran; empty on a backend server's answer.
     lost_detail: str = ""
 
     @property
     def is_success(self) -> bool:
-        """Say whether the request succeeded."""
+        """Return whether the request succeeded."""
         return 200 <= self.status < 300
 
 
 @frozen(kw_only=True)
 class WholeAnswer:
-    """Hold a backend server's answer that is complete."""
+    """Represent a complete answer of a backend server."""
 
     head: ServerAnswerHead
     body: bytes = field(default=b"", repr=False)
@@ -137,29 +137,29 @@
 
     # Nothing was sent.
     NOT_SENT = "not sent"
-    # A peer refused it and sent it to no server.
+    # A peer refused it without sending it to a server.
     REFUSED_UNSENT = "turned back"
-    # A peer refused it, as servers ended under such requests, and sent it to no server.
+    # A peer refused it unsent because servers ended under such requests.
     BLOCKED = "blocked"
-    # The server says that it did not run the request.
+    # The server stated that it did not run the request.
     REFUSED = "refused unrun"
-    # A whole answer is at hand and not passed on yet.
+    # A complete answer has been received and not sent to the client yet.
     ANSWERED = "answered"
-    # The answer has been passed on whole.
+    # The complete answer has been sent to the client.
     PASSED_ON = "passed on"
-    # No whole answer came; the request may have run.
+    # No complete answer arrived; the request may have run.
     LOST = "lost"
 
 
 @frozen(kw_only=True)
 class AttemptReport:
-    """Tell how an attempt ended and why."""
+    """Describe how an attempt ended and why."""
 
     end: AttemptEnd
     detail: str = ""
-    # Whether the other end closed the connection without a whole answer.
+    # True if the other end closed the connection without a complete answer.
     is_closed: bool = False
     answer: WholeAnswer | None = None
     first_answer_unix_s: float | None = None
-    # The longest time between two events of a stream; 0 where there was no second one.
+    # The longest time between two events of a stream; 0 if there was no second one.
     longest_pause_s: float = 0.0
--- a/src/pomelobarrow/relay/next_step.py
+++ b/src/pomelobarrow/relay/next_step.py
@@ -1,4 +1,4 @@
-"""Decide what follows the end of an attempt."""
+"""Decide whether to retry after an attempt and what to answer after the last one."""
 
 import enum
 
@@ -6,45 +6,45 @@
 
 from pomelobarrow.relay.messages import AttemptEnd, AttemptReport, RelayRequest, WholeAnswer
 
-REACHED_NO_SERVER = frozenset({AttemptEnd.NOT_SENT, AttemptEnd.REFUSED_UNSENT})
-# Nothing was sent, so that trying again can't run anything twice; a region that is cut off would
-# else be tried until the deadline.
+UNSENT_ENDS = frozenset({AttemptEnd.NOT_SENT, AttemptEnd.REFUSED_UNSENT})
+# A retry after an unsent attempt can't run anything twice. The limit prevents retries until the
+# deadline against a region that is cut off.
 MAX_UNSENT = 3
 FIRST_SERVER_ERROR_STATUS = 500
 
 
 class Step(enum.Enum):
-    """Enumerate what can follow."""
+    """Enumerate the possible steps after an attempt."""
 
     DONE = "done"
     TRY_AGAIN = "try again"
-    # Pass the answer at hand on.
+    # Send the failed answer of a server to the client.
     PASS_ON = "pass on"
-    # Refuse: nothing has run.
+    # Refuse the request as not run.
     REFUSE = "refuse"
-    # Say that the request may have run.
+    # Answer that the request may have run.
     FAIL = "fail"
-    # Refuse for good: servers end under it.
+    # Refuse permanently because servers end under the request.
     BLOCK = "block"
-    # A part of the stream is out; close it visibly short.
+    # Close a stream that has been sent in part, visibly incomplete.
     BREAK_OFF = "break off"
 
 
 @define(kw_only=True)
 class AttemptHistory:
-    """Hold what the attempts of one request have shown so far."""
+    """Summarise the attempts of one request so far."""
 
     request: RelayRequest
     attempts: int = 0
     unsent: int = 0
     attempts_left: int = field(init=False)
-    # Whether any server may have run the request.
+    # True if any server may have run the request.
     may_have_run: bool = False
-    # Whether a peer refused it because servers end under it.
+    # True if it was refused because servers end under it.
     is_blocked: bool = False
-    # The server of this region that ended under it last.
+    # The server of this region that ended under it last, hashed as in crash updates.
     ended_server_key: int | None = None
-    # A server's failure that goes to the client where nothing better comes.
+    # A server's failed answer, sent to the client if no later attempt does better.
     failure: WholeAnswer | None = None
     last_detail: str = ""
 
@@ -52,9 +52,9 @@
         self.attempts_left = self.request.attempts_left
 
     def note(self, report: AttemptReport) -> None:
-        """Take in how an attempt ended."""
+        """Record how an attempt ended."""
         self.last_detail = report.detail or self.last_detail
-        if report.end in REACHED_NO_SERVER:
+        if report.end in UNSENT_ENDS:
             self.unsent += 1
             return
         if report.end is AttemptEnd.BLOCKED:
@@ -67,19 +67,19 @@
 
     @property
     def was_sent(self) -> bool:
-        """Say whether any server has got the request."""
+        """Return whether the request has been sent to any server."""
         return self.attempts_left < self.request.attempts_left
 
     @property
     def may_send_again(self) -> bool:
-        """Say whether the request may be sent to one more server."""
+        """Return whether the request may be sent to one more server."""
         is_allowed = self.request.route.is_repeatable or not self.may_have_run
         return is_allowed and self.attempts_left > 0
 
 
 def should_retry(history: AttemptHistory, report: AttemptReport) -> bool:
-    """Say whether another attempt could do better."""
-    if report.end in REACHED_NO_SERVER:
+    """Return whether another attempt could have a better outcome."""
+    if report.end in UNSENT_ENDS:
         return history.unsent < MAX_UNSENT
     if report.end is AttemptEnd.ANSWERED:
         assert report.answer is not None
@@ -88,8 +88,8 @@
     return report.end in _RETRYABLE and history.may_send_again
 
 
-def final_step(history: AttemptHistory, is_started: bool) -> Step:
-    """Return what the client gets when there is no further attempt."""
+def last_step(history: AttemptHistory, is_started: bool) -> Step:
+    """Return the step to take without a further attempt."""
     if is_started:
         return Step.BREAK_OFF
     if history.is_blocked:
--- a/src/pomelobarrow/relay/plugin.py
+++ b/src/pomelobarrow/relay/plugin.py
@@ -1,4 +1,4 @@
-"""The relay's plug-in: its listeners and what they share; nothing where none are set."""
+"""The relay plug-in: its listeners and shared parts; inactive without relay settings."""
 
 from collections.abc import Awaitable
 
@@ -27,16 +27,16 @@
 from pomelobarrow.relay.wire import RelayWire
 
 MAX_BODY_BYTES = 4 << 20
-# Clients keep the directory's answer three times as long as it is good, and open connections to
-# the VMs it named until then.
+# Clients keep a directory answer for three times its validity and connect to the VMs it names until
+# then.
 LATE_CLIENTS_S = 3 * ANSWER_VALID_S
-# The last of a planned stop: closing the sockets and leaving the peers.
+# Time reserved at the end of a planned stop to close the sockets and to leave the peers.
 CLOSING_S = 1.0
 
 
 @hookimpl
 def provide_parts(context: Context) -> None:
-    """Register what relays requests."""
+    """Register the parts of the relay."""
     context.provide(Placer, _placer)
     context.provide(Relay, _relay)
     context.provide(PlannedStop, lambda _: PlannedStop())
@@ -47,7 +47,7 @@
 
 @hookimpl
 def services(context: Context) -> list[PhasedService]:
-    """Listen last, once everything else runs."""
+    """Start the listeners last, after all other services."""
     if context.settings.relay is None:
         return []
     return [PhasedService(StartPhase.CALLERS, context.get(RelayListeners))]
@@ -55,7 +55,7 @@
 
 @hookimpl
 def status(context: Context) -> StatusSection:
-    """Say what is in progress."""
+    """Report the number of requests in progress."""
     if context.settings.relay is None:
         return StatusSection("relay", {})
     return StatusSection("relay", {"in_progress": context.get(Relay).in_progress})
@@ -63,13 +63,13 @@
 
 @hookimpl
 def drain(context: Context) -> Awaitable[None]:
-    """Serve late clients, and finish what is in progress."""
+    """Serve late clients and finish the requests in progress."""
     return _drain(context)
 
 
 @hookimpl
 def close(context: Context) -> Awaitable[None]:
-    """Close the sockets once every answer has left."""
+    """Close the sockets once every answer has been sent."""
     return _close(context)
 
 
--- a/src/pomelobarrow/relay/progress.py
+++ b/src/pomelobarrow/relay/progress.py
@@ -1,4 +1,4 @@
-"""How far one relayed request has got."""
+"""State of one relayed request across its attempts."""
 
 from attrs import define, field
 
@@ -12,7 +12,7 @@
 
 @define(kw_only=True)
 class RequestProgress:
-    """Hold how far one request has got."""
+    """Track one relayed request from its first attempt to its answer."""
 
     request: RelayRequest
     sink: ClientAnswer
@@ -21,9 +21,9 @@
     splitter: EventSplitter
     excluded: Excluded = field(factory=Excluded)
     first_answer_unix_s: float | None = None
-    # The longest time between two events so far.
+    # The longest time between two events of the stream so far.
     longest_pause_s: float = 0.0
-    # Whether one more arrival at a server is counted already.
+    # True if one repeat has been taken from the retry budget and not used yet.
     is_repeat_reserved: bool = False
-    # The wait that was too long when nobody could get the request; 0 where there is no server.
+    # The expected wait that was too long when no target was found; 0 if there is no server.
     unplaced_wait_s: float = 0.0
--- a/src/pomelobarrow/relay/prompts.py
+++ b/src/pomelobarrow/relay/prompts.py
@@ -1,4 +1,4 @@
-"""Name the blocks of a prompt by its parts, for the index of prompt caches."""
+"""Hash the blocks of a prompt by its parts for the prefix index."""
 
 import functools
 from collections.abc import Sequence
@@ -14,7 +14,7 @@
 def shared_blocks(parts: Sequence[PromptPart]) -> tuple[int, ...]:
     """Return the hashes of the blocks that other prompts may share, in order.
 
-    The last part belongs to the request alone: nobody will ask for its blocks again.
+    The last part is unique to the request, so its blocks are never reused.
     """
     blocks: tuple[int, ...] = ()
     for part in parts[:-1]:
--- a/src/pomelobarrow/relay/relay.py
+++ b/src/pomelobarrow/relay/relay.py
@@ -1,4 +1,4 @@
-"""Bring one relayed request to an end: place it, send it, try again or refuse."""
+"""Relay a request: place it, send it, retry or refuse."""
 
 import asyncio
 from collections.abc import Callable
@@ -28,25 +28,13 @@
 from pomelobarrow.relay.event_splitter import EventSplitter
 from pomelobarrow.relay.health_monitor import FirstAnswerTimes, ServerHealthMonitor
 from pomelobarrow.relay.hop import peer_target, refusal_headers
-from pomelobarrow.relay.messages import (
-    AttemptEnd,
-    AttemptReport,
-    RelayRequest,
-    ServerAnswerHead,
-)
-from pomelobarrow.relay.next_step import (
-    REACHED_NO_SERVER,
-    AttemptHistory,
-    Step,
-    final_step,
-    should_retry,
-)
+from pomelobarrow.relay.messages import AttemptEnd, AttemptReport, RelayRequest, ServerAnswerHead
+from pomelobarrow.relay.next_step import UNSENT_ENDS, AttemptHistory, Step, last_step, should_retry
 from pomelobarrow.relay.progress import RequestProgress
 from pomelobarrow.relay.relay_log import RelayLog
 from pomelobarrow.relay.wire import RelayWire, ServerCallOptions
 
-# A connection inside a region takes a millisecond or two; a server that doesn't answer in this
-# time, a retransmission included, is taken to be gone.
+# A connect in a region takes one or two ms; a retransmission later, a server is taken to be gone.
 SERVER_CONNECT_TIMEOUT_S = 0.35
 RETRY_JITTER = 0.5
 LIMIT_CHECK_S = 0.01
@@ -55,7 +43,7 @@
 
 @define(kw_only=True)
 class Relay:
-    """Hold what all relayed requests of this VM share."""
+    """Relay the requests of this VM to backend servers and peers."""
 
     own_vm: str
     own_region: str
@@ -82,7 +70,7 @@
         )
 
     async def answer(self, request: RelayRequest, routing: Routing, sink: ClientAnswer) -> None:
-        """Answer a request, whole or with an honest refusal."""
+        """Answer a request completely, or refuse it with the true state of its execution."""
         progress = RequestProgress(
             request=request,
             sink=sink,
@@ -108,15 +96,15 @@
             async with asyncio.timeout(max(0.0, left_s)):
                 step = await self._run_attempts(progress)
         except TimeoutError:
-            progress.history.last_detail = "the time was up"
-            step = final_step(progress.history, progress.sink.is_started)
+            progress.history.last_detail = "the deadline passed before the answer was complete"
+            step = last_step(progress.history, progress.sink.is_started)
         return await self._conclude(progress, step)
 
     async def _run_attempts(self, progress: RequestProgress) -> Step:
         while True:
             if self.guard.refuses(progress.request.fingerprint):
                 progress.history.is_blocked = True
-                return final_step(progress.history, progress.sink.is_started)
+                return last_step(progress.history, progress.sink.is_started)
             decision = self.placer.place(
                 progress.request.for_placement, progress.routing, progress.excluded, now_unix_s()
             )
@@ -126,7 +114,7 @@
                 progress.history.last_detail = progress.history.last_detail or decision.reason
                 progress.unplaced_wait_s = decision.wait_s
                 self.log.not_placed(progress, decision)
-                return final_step(progress.history, progress.sink.is_started)
+                return last_step(progress.history, progress.sink.is_started)
             report = await self._send(progress, decision)
             progress.history.note(report)
             progress.longest_pause_s = max(progress.longest_pause_s, report.longest_pause_s)
@@ -134,26 +122,26 @@
                 return Step.DONE
             if should_retry(progress.history, report) and self._may_repeat(progress, report):
                 continue
-            # In the middle of a stream an answer of its own would be read as a part of its body.
+            # Once a stream has begun, a separate answer would be read as a part of its body.
             if report.end is AttemptEnd.ANSWERED and not progress.sink.is_started:
                 assert report.answer is not None
                 await progress.sink.pass_on(report.answer)
                 return Step.DONE
-            return final_step(progress.history, progress.sink.is_started)
+            return last_step(progress.history, progress.sink.is_started)
 
     async def _wait_for_limit(self, progress: RequestProgress, decision: Nowhere) -> bool:
-        """Wait until a server's own limit lets a request through, where that may be in time."""
+        """Wait for a server's advertised rate limit if the wait may end before the target time."""
         next_unix_s, now = decision.next_unix_s, now_unix_s()
         if next_unix_s is None or progress.request.forwarded_by:
             return False
         if next_unix_s >= progress.request.work.first_token_due_unix_s:
             return False
-        # Of those that wait for the same moment the first one goes; the others look again.
+        # One of the requests that wait for the same moment is placed; the others check again.
         await asyncio.sleep(max(LIMIT_CHECK_S, next_unix_s - now))
         return True
 
     def _may_repeat(self, progress: RequestProgress, report: AttemptReport) -> bool:
-        if report.end in REACHED_NO_SERVER:
+        if report.end in UNSENT_ENDS:
             return True
         if progress.history.may_have_run and not self.guard.may_repeat(
             progress.request.fingerprint
@@ -185,7 +173,7 @@
         self.placer.note_placed(server, now)
         table.prefixes.observe_placement(server.name, work.prefix_hashes)
         table.charge(work.request_id, server.name, tokens, now, kv_tokens)
-        order = ServerCallOptions(
+        options = ServerCallOptions(
             server=server.name,
             deadline_unix_s=work.deadline_unix_s,
             resume_after=self._resume_after(progress),
@@ -193,7 +181,7 @@
         target = Target(
             name=server.name,
             address=server.address,
-            headers=lambda: self.wire.server_headers(request, order),
+            headers=lambda: self.wire.server_headers(request, options),
             read_answer=self.wire.read_answer,
             connect_timeout_s=SERVER_CONNECT_TIMEOUT_S,
         )
@@ -216,7 +204,6 @@
     async def _record_server_end(
         self, progress: RequestProgress, server: BackendServer, report: AttemptReport
     ) -> None:
-        """Learn whether a server ended under a request, or answered it."""
         request = progress.request
         if report.is_closed:
             await self.guard.note_closed(server, request.fingerprint)
@@ -226,7 +213,6 @@
             self.guard.note_answered(request.fingerprint)
 
     def _record_peer_crash(self, request: RelayRequest, head: ServerAnswerHead) -> None:
-        """Take in that a peer's server ended under a request."""
         if head.ended_server_key is not None:
             self.guard.note_crash(request.fingerprint, head.ended_server_key)
 
@@ -254,20 +240,20 @@
 
     @staticmethod
     def _exclude_refusing_target(progress: RequestProgress, decision: OnPeer) -> None:
-        """Leave out the server of a coordinator that refused, else the peer's region."""
+        """Exclude the server whose coordinator refused, or else the region of the peer."""
         if decision.server:
             progress.excluded.servers.add(decision.server)
         else:
             progress.excluded.regions.add(decision.member.region)
 
     def _resume_after(self, progress: RequestProgress) -> str:
-        """Return the last event that the client has of this answer."""
+        """Return the id of the last event sent to the client; empty if none was sent."""
         return progress.splitter.last_event_id if progress.sink.is_started else ""
 
     def _first_answer_timeout(
         self, progress: RequestProgress, placement: Placement
     ) -> FirstAnswerTimeout | None:
-        """Return how long to wait for a silent server, None where no other could be tried."""
+        """Return the limit on the wait for a silent server; None if no other could be tried."""
         route = progress.request.route
         is_suspect = not self.guard.may_repeat(progress.request.fingerprint)
         if not route.is_repeatable or is_suspect or progress.history.attempts_left < 2:
@@ -281,10 +267,10 @@
         return FirstAnswerTimeout(limit_s=time_limit_s, may_give_up=take_repeat)
 
     def _record_server_state(self, server: BackendServer, head: ServerAnswerHead) -> None:
-        """Take in what a server says of itself with an answer."""
+        """Record the load and the limit that a server reports with an answer."""
         table = self.placer.table
         record_advertised_limit(table, server, head.limit_per_s, head.limit_header, self.observe)
-        # The incarnation that it was sent to may be gone.
+        # The server may have been replaced by another incarnation since the request was sent.
         if head.counts is None or not table.is_current(server):
             return
         now = now_unix_s()
@@ -298,7 +284,6 @@
         table.observe_glimpse(partial_report, now)
 
     def _pause_observer(self, progress: RequestProgress, server: str) -> Callable[[float], None]:
-        """Return what learns from the pauses of a stream."""
         gap_target_s, pauses = progress.request.work.gap_target_s, self.placer.table.pauses
 
         def observe(pause_s: float) -> None:
@@ -338,7 +323,7 @@
         try:
             report = await attempt.run()
         except BaseException:
-            # Whoever cancels has to know whether the server may have got the request.
+            # The answer after a cancellation depends on whether the server may have the request.
             progress.history.may_have_run |= not attempt.is_surely_unrun
             raise
         finally:
@@ -346,7 +331,7 @@
         return report
 
     async def _conclude(self, progress: RequestProgress, step: Step) -> str:
-        """Give the client what is left to give; return the outcome's name."""
+        """Send the final answer or refusal to the client; return the name of the outcome."""
         if step is Step.DONE:
             return "answered"
         if step is Step.BREAK_OFF:
@@ -374,7 +359,7 @@
         if progress.history.attempts and not progress.unplaced_wait_s:
             pause_s = MIN_RETRY_AFTER_S * self.rng.uniform(1.0, 1.0 + RETRY_JITTER)
             return refuse(Kind.NO_CAPACITY, Run.NO, detail, now + pause_s)
-        # Without any server the queue's pace says nothing; that lasts longer than a full one does.
+        # Without any server the drain rate is meaningless, and the outage outlasts a full queue.
         wait_s = progress.unplaced_wait_s or max(0.0, work.deadline_unix_s - now)
         taken_per_s = self.placer.table.drain_per_s(work.pool, now) / self._local_vms
         retry_at = retry_at_unix_s(
@@ -394,7 +379,7 @@
         sink: ClientAnswer,
         history: AttemptHistory | None = None,
     ) -> None:
-        """Answer in this system's own name."""
+        """Send a refusal of this system itself."""
         was_sent = history is not None and history.was_sent
         ended_server_key = history.ended_server_key if history is not None else None
         run_headers = refusal_headers(refusal, was_sent, ended_server_key)
--- a/src/pomelobarrow/relay/relay_log.py
+++ b/src/pomelobarrow/relay/relay_log.py
@@ -1,4 +1,4 @@
-"""Tell logs and metrics what became of a relayed request, and what it was decided on."""
+"""Report the decisions on relayed requests and their outcomes to logs and metrics."""
 
 from collections.abc import Callable, Mapping
 
@@ -22,7 +22,7 @@
 
 @define(kw_only=True)
 class RelayLog:
-    """Hold what the events are made of."""
+    """Build and emit the events of relayed requests."""
 
     own_region: str
     table: LoadTable
@@ -62,7 +62,7 @@
         )
 
     def not_placed(self, progress: RequestProgress, decision: Nowhere) -> None:
-        """Report that nobody may get a request now."""
+        """Report that no server or peer may get a request now."""
         work, table, now = progress.request.work, self.table, now_unix_s()
         listed = table.pool_servers(work.pool)
         loads = self.region_loads(work.pool).items()
@@ -94,7 +94,7 @@
         report: AttemptReport,
         started_unix_s: float,
     ) -> None:
-        """Report how one sending ended."""
+        """Report how one attempt ended."""
         self.observe(
             RelayAttemptEnded(
                 request_id=progress.request.work.request_id,
@@ -112,7 +112,7 @@
         )
 
     def end(self, progress: RequestProgress, outcome: str) -> None:
-        """Report what the client got."""
+        """Report the outcome for the client."""
         work, first_unix_s = progress.request.work, progress.first_answer_unix_s
         self.observe(
             RelayEnded(
--- a/src/pomelobarrow/relay/wire.py
+++ b/src/pomelobarrow/relay/wire.py
@@ -1,4 +1,4 @@
-"""What the relay needs to know of the wire's words; the platform's adapter provides it."""
+"""Interface between the relay and the wire format, implemented by the platform adapter."""
 
 from collections.abc import Callable, Mapping, Sequence
 
@@ -16,7 +16,7 @@
 
 @frozen(kw_only=True)
 class DirectoryQuery:
-    """Hold what a client asks the directory."""
+    """Represent a client's query to the directory."""
 
     host: str
     region: str
@@ -25,30 +25,30 @@
 
 @frozen(kw_only=True)
 class ServerCallOptions:
-    """Say for whom a request is meant and how it is to run."""
+    """Carry the parameters of one call to a backend server."""
 
-    # The backend server's name: any other at its address refuses the request unrun.
+    # The name of the backend server; any other server at its address refuses the request unrun.
     server: str
     deadline_unix_s: float
-    # Continue after this event of a stream that broke off.
+    # The id of the event after which a stream that broke off is to resume.
     resume_after: str = ""
 
 
 @frozen(kw_only=True)
 class RelayWire:
-    """Hold the functions that translate between the wire and the relay's types."""
+    """Bundle the functions that translate between the wire format and the types of the relay."""
 
     readiness_path: str
     directory_path: str
     read_request: Callable[[Mapping[str, str]], Result[RequestHead, str]]
-    # The headers of a request on its way to a backend server.
+    # Returns the headers of a request to a backend server.
     server_headers: Callable[[RelayRequest, ServerCallOptions], Headers]
-    # The headers of a request on its way to a peer: with the time that is left, and to go on after
-    # an event of a stream that broke off.
+    # Returns the headers of a request to a peer, with the remaining time and the id of the event
+    # after which a stream that broke off is to resume.
     peer_headers: Callable[[RelayRequest, str], Headers]
     read_answer: Callable[[ClientResponse], ServerAnswerHead]
     read_directory_query: Callable[[Mapping[str, str]], DirectoryQuery]
-    # Addresses, and the seconds for which they are good.
+    # Takes the addresses and the seconds for which they are valid.
     directory_answer: Callable[[Sequence[str], float], bytes]
-    # The id of an event of a stream, empty where it has none.
+    # Returns the id of an event of a stream; empty if it has none.
     event_id: Callable[[bytes], str]
