--- a/src/pomelobarrow/dispatch/__init__.py
+++ b/src/pomelobarrow/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""Carry out the decisions: admit, queue, place, send, forward and try again."""
+"""Execute the decisions: admit, queue, place, send, forward and retry requests."""
--- a/src/pomelobarrow/dispatch/advertised_limits.py
+++ b/src/pomelobarrow/dispatch/advertised_limits.py
@@ -1,4 +1,4 @@
-"""Take in the limit that a server names with an answer."""
+"""Record the rate limit that a server states with an answer."""
 
 from collections.abc import Callable
 
@@ -15,7 +15,7 @@
     header: str,
     observe: Callable[[object], None],
 ) -> None:
-    """Take in a server's limit, None where its answer names none, and report a change."""
-    # The incarnation that it was sent to may be gone.
+    """Record a server's limit, None if its answer states none, and report a change."""
+    # The server may have been replaced by another incarnation since the request was sent.
     if table.is_current(server) and table.limits.observe(server.incarnation, per_s, now_unix_s()):
         observe(ServerLimitNamed(server=server.name, limit_per_s=per_s, header=header))
--- a/src/pomelobarrow/dispatch/answers.py
+++ b/src/pomelobarrow/dispatch/answers.py
@@ -1,4 +1,4 @@
-"""How an answer travels from a backend server to whoever asked."""
+"""Types for passing an answer from a backend server to the caller."""
 
 from typing import Protocol
 
@@ -13,39 +13,39 @@
 
 
 class CallerGoneError(Exception):
-    """Report that nobody waits for the answer any more."""
+    """Raised when the caller has disconnected."""
 
 
 @frozen
 class AnswerHead:
-    """Hold an answer's status and headers."""
+    """Represent the status and headers of an answer."""
 
     status: int
     headers: Headers = ()
     server: str = ""
-    # The id under which the server holds the answer, where that can be resumed.
+    # The id under which the server keeps the answer, if the answer can be resumed.
     request_id: str = ""
 
 
 class AnswerSink(Protocol):
-    """Take an answer; each method raises CallerGoneError once the reader has left."""
+    """Receive an answer; each method raises CallerGoneError once the caller has disconnected."""
 
     async def head(self, head: AnswerHead) -> None:
-        """Take status and headers; nothing can be tried elsewhere after this."""
+        """Send status and headers; no other attempt is possible after this."""
 
     async def chunk(self, data: bytes) -> None:
-        """Take the next bytes of the body."""
+        """Send the next bytes of the body."""
 
     async def end(self) -> None:
-        """Take note that the answer is whole."""
+        """Mark the answer as complete."""
 
     async def abort(self, refusal: Refusal) -> None:
-        """Take note that the answer stops short and must not look complete."""
+        """End an incomplete answer so that it can't be taken for a complete one."""
 
 
 @frozen(kw_only=True)
 class AttemptResult:
-    """Tell how one attempt ended."""
+    """Describe how one attempt ended."""
 
     state: AttemptState
     head_passed: bool = False
@@ -58,5 +58,5 @@
 
     @property
     def is_finished(self) -> bool:
-        """Tell whether the whole answer has been passed on."""
+        """Return whether the complete answer has been sent to the caller."""
         return self.state is AttemptState.FINISHED
--- a/src/pomelobarrow/dispatch/background.py
+++ b/src/pomelobarrow/dispatch/background.py
@@ -1,4 +1,4 @@
-"""Let work go on that nobody waits for any longer."""
+"""Run work to its end after its caller has stopped waiting."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -6,14 +6,15 @@
 
 Result = TypeVar("Result")
 
-# The loop holds its tasks weakly: one that nothing else holds may vanish before its end.
+# The event loop keeps only weak references to tasks; without this set, a detached task could be
+# garbage-collected before it ends.
 _detached: set["asyncio.Task[Any]"] = set()
 
 
 async def wait_or_detach(
     work: Coroutine[Any, Any, Result], timeout_s: float, default: Result
 ) -> Result:
-    """Return what the work comes to, or a value for now while the work goes on to its end."""
+    """Return the result, or the default after a timeout, while the work runs on to its end."""
     task = asyncio.create_task(work)
     _detached.add(task)
     task.add_done_callback(_detached.discard)
--- a/src/pomelobarrow/dispatch/claims.py
+++ b/src/pomelobarrow/dispatch/claims.py
@@ -1,4 +1,4 @@
-"""Run a request under an issued id at most once, wherever the repeat arrives."""
+"""Run a request under an issued id at most once, whichever VM its repeats reach."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -35,18 +35,18 @@
 
 @define(kw_only=True)
 class ClaimedDispatch:
-    """Answer requests that carry an issued id."""
+    """Dispatch requests that carry an issued id."""
 
     ledger: RequestIdLedger
     dispatcher: Dispatcher
     rng: Random = field(factory=Random)
-    # Set before the ids are sent to a successor: from then on it may run them.
+    # Set before the ids are sent to a successor, which may run their requests from then on.
     is_handing_over: bool = False
     _running: set["asyncio.Task[Refusal | None]"] = field(factory=set)
     _abandoned: dict[str, "asyncio.Task[Refusal | None]"] = field(factory=dict)
 
     async def dispatch(self, request: GatewayRequest, sink: AnswerSink) -> Refusal | None:
-        """Claim the id here, or pass the request on to the VM that issued it."""
+        """Claim the id here, or forward the request to the VM that issued it."""
         parsed = parse_issuer(request.work.request_id)
         if isinstance(parsed, Err):
             return _not_issued(parsed.err_value.detail)
@@ -60,7 +60,7 @@
     async def refuse(
         self, request: GatewayRequest, refusal: Refusal, sink: AnswerSink
     ) -> Refusal | None:
-        """Refuse a request before it was dispatched; a repeat still learns the first's outcome."""
+        """Refuse a request before dispatch; a repeat still gets the outcome of the first one."""
         work = request.work
         parsed = parse_issuer(work.request_id)
         if isinstance(parsed, Err):
@@ -73,10 +73,10 @@
         return await self._handlers()[claim.kind](claim, request, sink)
 
     def call_after_run(self, request_id: str, callback: Callable[[], None]) -> None:
-        """Call back once the run that this id's caller has just left is over, or now.
+        """Call back when the abandoned run of this id ends, or immediately if there is none.
 
-        An account that left its requests running would otherwise get room for more at once, and
-        keep any number of them running past its limit.
+        If the limit were released when the caller disconnects, an account could leave any number of
+        requests running beyond its limit.
         """
         task = self._abandoned.pop(request_id, None)
         if task is None:
@@ -85,7 +85,7 @@
             task.add_done_callback(lambda _: callback())
 
     async def wait_until_idle(self) -> None:
-        """Return once no claimed request runs any more."""
+        """Return once no claimed request is running."""
         while self._running:
             await asyncio.wait(self._running)
 
@@ -108,7 +108,7 @@
     async def _run_fresh(
         self, claim: Claim, request: GatewayRequest, sink: AnswerSink
     ) -> Refusal | None:
-        """Run to the end even if the caller leaves: its repeat gets the outcome."""
+        """Run to the end even if the caller disconnects; its repeat gets the outcome."""
         recorder = RecordingSink(sink)
         task = asyncio.create_task(self._run_recorded(request, recorder))
         self._running.add(task)
@@ -136,10 +136,10 @@
         return self._record_refusal(request_id, refusal)
 
     def _record_refusal(self, request_id: str, refusal: Refusal) -> Refusal:
-        """Make a refusal final: another copy of the request may still be on its way here.
+        """Make a refusal final, as another copy of the request may still be in transit.
 
-        Were the id free again, that copy could run after the caller was told "not run" and had
-        sent the request anew: one order placed twice.
+        If the id became free again, that copy could run after the caller has received "not run" and
+        sent the request again under a new id, so that one order would be placed twice.
         """
         if refusal.run is Run.UNKNOWN:
             self.ledger.lose(request_id)
@@ -150,7 +150,7 @@
     async def _forward_to_issuer(
         self, issuer: Issuer, request: GatewayRequest, sink: AnswerSink
     ) -> Refusal | None:
-        """Send the repeat to its issuer once; only the issuer's own word counts as "not run"."""
+        """Forward to the issuer once; only the issuer can state that a request did not run."""
         attempt = Attempt()
         result = await self.dispatcher.forwarder.forward_to_issuer(
             issuer.vm, issuer.incarnation, request, attempt, sink
@@ -163,7 +163,7 @@
         if result.head_passed:
             await sink.abort(refusal)
         elif result.state is AttemptState.REFUSED_UNRUN:
-            return self._issuer_gone("the issuer did not take it")
+            return self._issuer_gone("the VM that issued the id refused the forwarded request")
         return refusal
 
     async def _refuse_still_running(
@@ -173,7 +173,7 @@
         return Refusal(
             kind=Kind.STILL_RUNNING,
             run=Run.UNKNOWN,
-            detail="the first request with this id still runs",
+            detail="the first request with this id is still running",
             remedy=REMEDY_REPEAT,
             retry_at_unix_s=retry_at_unix_s,
         )
@@ -183,11 +183,21 @@
     ) -> Refusal | None:
         outcome = claim.outcome or Outcome(status=502, run="unknown")
         if outcome.run == Run.NO.value:
-            return refuse(Kind.ID_REFUSED, Run.NO, "the first one was refused and never ran")
+            return refuse(
+                Kind.ID_REFUSED, Run.NO, "the first request with this id was refused and never ran"
+            )
         if outcome.run == "unknown":
-            return refuse(Kind.OUTCOME_UNKNOWN, Run.UNKNOWN, "the first one's outcome is unknown")
+            return refuse(
+                Kind.OUTCOME_UNKNOWN,
+                Run.UNKNOWN,
+                "the outcome of the first request with this id is unknown",
+            )
         if outcome.body is None:
-            return refuse(Kind.ANSWER_NOT_KEPT, Run.UNKNOWN, "it ran; its answer was too large")
+            return refuse(
+                Kind.ANSWER_NOT_KEPT,
+                Run.UNKNOWN,
+                "the request ran, but its answer was too large to keep",
+            )
         await sink.head(AnswerHead(outcome.status, outcome.headers))
         await sink.chunk(outcome.body)
         await sink.end()
@@ -201,7 +211,7 @@
     async def _refuse_expired(
         self, claim: Claim, request: GatewayRequest, sink: AnswerSink
     ) -> Refusal | None:
-        detail = "the id has expired; a first request under it may have run"
+        detail = "the id has expired; an earlier request under it may have run"
         return refuse(Kind.OUTCOME_UNKNOWN, Run.UNKNOWN, detail)
 
     async def _refuse_not_mine(
@@ -217,7 +227,7 @@
         return refuse(Kind.DRAINING, run, detail, remedy=REMEDY_NEW_ID)
 
     def _issuer_gone(self, detail: str = "") -> Refusal:
-        text = "the VM that issued the id can't be asked whether it ran"
+        text = "the VM that issued the id can't be reached to find out whether the request ran"
         return refuse(Kind.OUTCOME_UNKNOWN, Run.UNKNOWN, f"{text}: {detail}" if detail else text)
 
 
--- a/src/pomelobarrow/dispatch/crash_guard.py
+++ b/src/pomelobarrow/dispatch/crash_guard.py
@@ -1,4 +1,4 @@
-"""Keep requests that end the servers that run them from reaching any more of these."""
+"""Block requests that crash the servers that run them."""
 
 from collections.abc import Callable, Iterable
 
@@ -18,7 +18,7 @@
 
 @frozen(kw_only=True)
 class RequestBlocked:
-    """Report that a request was refused because servers ended under it, and the evidence."""
+    """Report that a request was refused because servers ended under it, with the evidence."""
 
     request_id: str
     pool: str
@@ -29,7 +29,7 @@
 
 @define(kw_only=True)
 class CrashGuard:
-    """Hold what is known of such requests, how it is found out and who is told."""
+    """Collect crash evidence, share it with peers and decide which requests to refuse."""
 
     suspects: CrashSuspects = field(factory=CrashSuspects)
     watch: ServerWatch = field(factory=ServerWatch)
@@ -41,20 +41,20 @@
         self.watch.on_ended = self._note_ended
 
     def refuses(self, fingerprint: int) -> bool:
-        """Say whether a request is refused now; now and then one is let through on trial."""
+        """Return whether to refuse a request now; at intervals one is admitted as a trial."""
         now = now_unix_s()
         if self.suspects.suspicion(fingerprint, now) is not Suspicion.BLOCKED:
             return False
         return not self.suspects.take_trial(fingerprint, self.live_vms(), now)
 
     def refuses_after_wait(self, fingerprint: int) -> bool:
-        """Say whether a request that was let through is refused after all."""
+        """Return whether to refuse a request that was admitted before it waited in a queue."""
         now = now_unix_s()
         is_blocked = self.suspects.suspicion(fingerprint, now) is Suspicion.BLOCKED
         return is_blocked and not self.suspects.is_on_trial(fingerprint, now)
 
     def may_repeat(self, fingerprint: int) -> bool:
-        """Say whether a request that a server has lost may be sent to another one."""
+        """Return whether a request that a server has lost may be sent to another one."""
         return self.suspects.suspicion(fingerprint, now_unix_s()) is Suspicion.NONE
 
     def refusal(self, request_id: str, pool: str, fingerprint: int, run: Run) -> Refusal:
@@ -74,22 +74,22 @@
         return refuse(Kind.CRASHES_SERVERS, run, DETAIL)
 
     def note_answered(self, fingerprint: int) -> None:
-        """Clear a request that a server has answered whole."""
+        """Clear the suspicion of a request that a server has answered completely."""
         self._notify(self.suspects.answered(fingerprint, now_unix_s()))
 
     async def note_closed(self, server: BackendServer, fingerprint: int) -> None:
-        """Find out whether a server that closed a connection has ended; return once that is judged.
+        """Check whether a server that closed a connection has ended, and return with the result.
 
-        Who decides on another attempt then knows of this one.
+        The decision on another attempt then takes this crash into account.
         """
         await self.watch.note_closed(server, fingerprint)
 
     def has_ended(self, server: BackendServer, fingerprint: int) -> bool:
-        """Say whether a server is known to have ended under a request."""
+        """Return whether a server is known to have ended under a request."""
         return self.suspects.has_crash(fingerprint, server_key(server))
 
     def note_crash(self, fingerprint: int, server_key: int) -> None:
-        """Take in that a server ended under a request a moment ago."""
+        """Record that a server has just ended under a request."""
         crash = Crash(fingerprint=fingerprint, server_key=server_key, ended_unix_s=now_unix_s())
         self._notify(self.suspects.note(crash))
 
@@ -107,5 +107,5 @@
 
 
 def server_key(server: BackendServer) -> int:
-    """Return the four bytes that stand for a server's incarnation."""
+    """Return the four-byte key of a server's incarnation."""
     return short_key(server.incarnation)
--- a/src/pomelobarrow/dispatch/dispatcher.py
+++ b/src/pomelobarrow/dispatch/dispatcher.py
@@ -1,4 +1,4 @@
-"""Bring one request to an end: choose the region, attempt, try again or refuse."""
+"""Dispatch a request: choose a region, make attempts, retry or refuse."""
 
 import asyncio
 from collections.abc import Callable
@@ -34,14 +34,14 @@
 BACKOFF_FLOOR_S = 0.2
 BACKOFF_CEILING_S = 5.0
 UNRUN_PAUSE_S = 0.02
-# Repeatable work is late rather than lost: once its quick tries are used up it goes on at the
-# backoff's pace, which can't amplify an overload, until its deadline.
+# After these decisions, repeatable work is retried with backoff until its deadline instead of being
+# refused. The backoff keeps such retries from amplifying an overload.
 BACKOFF_VERDICTS = frozenset({RetryVerdict.BUDGET, RetryVerdict.ATTEMPTS})
 
 
 @define(kw_only=True)
 class AttemptHistory:
-    """Hold what the attempts of one request have shown so far."""
+    """Summarise the attempts of one request so far."""
 
     states: list[AttemptState] = field(factory=list)
     excluded_servers: set[str] = field(factory=set)
@@ -51,17 +51,17 @@
 
     @property
     def run(self) -> Run:
-        """Say whether anything may have run."""
+        """Return whether any attempt may have run."""
         return run_verdict(self.states)
 
     def observe(self, region: str, result: AttemptResult) -> None:
-        """Note whom to leave out of the next attempt."""
+        """Record an attempt and the targets to exclude from the next one."""
         self.states.append(result.state)
         self.last_refusal = result.refusal or self.last_refusal
         if result.peer:
             self.excluded_peers.add(result.peer)
-            # One VM that stops says nothing of its region: left out, home-bound work would be
-            # refused although the VM next to it takes it.
+            # A VM that stops says nothing about its region. If the region were excluded, home-bound
+            # work would be refused although another VM there accepts it.
             if result.refusal is None or result.refusal.kind is not Kind.DRAINING:
                 self.excluded_regions.add(region)
         elif result.server:
@@ -70,7 +70,7 @@
 
 @define(kw_only=True)
 class Dispatcher:
-    """Hold what all requests of this VM share."""
+    """Dispatch the requests of this VM to local servers or to peers in other regions."""
 
     own_region: str
     local: LocalDispatch
@@ -82,7 +82,7 @@
     guard: CrashGuard = field(factory=CrashGuard)
 
     async def dispatch(self, request: GatewayRequest, sink: AnswerSink) -> Refusal | None:
-        """Answer the request whole through the sink, or return why not."""
+        """Send the complete answer to the sink, or return a refusal."""
         history = AttemptHistory()
         while True:
             if self.guard.refuses(request.fingerprint):
@@ -106,7 +106,7 @@
         return self.guard.refusal(work.request_id, work.pool, request.fingerprint, history.run)
 
     def choose(self, work: Work, excluded_regions: set[str]) -> RegionChoice:
-        """Return where such work would go now."""
+        """Return the region that such work would be sent to now."""
         now = now_unix_s()
         loads = dict(self.forwarder.region_loads(work))
         loads[self.own_region] = self.own_load(work, now)
@@ -115,7 +115,7 @@
         return choose_region(work, self.own_region, loads, self.share, now, self.rng)
 
     def own_load(self, work: Work, now: float) -> RegionLoad:
-        """Return this region's load for such work."""
+        """Return the load of this region for such work."""
         table = self.local.table
         cold_tokens = work.prompt_tokens * table.service_times(work.pool).s_per_prefill_token
         return RegionLoad(
@@ -144,7 +144,7 @@
         return region, result
 
     def _region(self, request: GatewayRequest, history: AttemptHistory) -> str:
-        """Return the region to try; a forwarded request stays here whatever the views say."""
+        """Return the region for the next attempt; a forwarded request always stays here."""
         work = request.work
         if request.forwarded_by is not None:
             if work.home_bound and work.home_region != self.own_region:
@@ -166,10 +166,10 @@
         return choice.region
 
     def _is_home_load_unknown(self, work: Work, history: AttemptHistory) -> bool:
-        """Tell whether home's load was never heard, as on a VM that has just started.
+        """Return whether no load of the home region has been received, as just after a start.
 
-        Taken for a lost home, its work was refused although home would run it. The forward finds
-        out at once whether an entry VM there can be reached.
+        Such a region must not be taken for unreachable, or its work would be refused although the
+        region would run it. A forward shows at once whether an entry VM there can be reached.
         """
         if work.home_region == self.own_region or work.home_region in history.excluded_regions:
             return False
@@ -195,8 +195,9 @@
             return refuse(Kind.OUTCOME_UNKNOWN, Run.UNKNOWN, result.detail)
         if request.forwarded_by is not None and result.refusal is not None:
             return result.refusal
-        # Home-bound work has nowhere else to go. Held here until its deadline it would only keep
-        # its caller from an entry VM that reaches home; once home has had it, it is tried on.
+        # Home-bound work can't run elsewhere. Retrying here until its deadline would only keep its
+        # caller from an entry VM that reaches the home region. Once that region has received the
+        # request, it is retried.
         if (
             work.home_bound
             and set(history.states) == {AttemptState.NOT_SENT}
@@ -226,12 +227,12 @@
         return None
 
     def _deadline_refusal(self, work: Work, history: AttemptHistory) -> Refusal:
-        """Name what held the work up and, where nothing ran, when to come back."""
+        """Return the last refusal with a new retry time if nothing ran, else a missed deadline."""
         now = now_unix_s()
         retry_at_unix_s = retry_after_unix_s(self.local.expected_wait_s(work), now, self.rng)
         if history.run is Run.NO and history.last_refusal is not None:
             return evolve(history.last_refusal, retry_at_unix_s=retry_at_unix_s)
-        detail = "the retries reached the deadline"
+        detail = "the deadline passed before another attempt"
         return refuse(Kind.DEADLINE_PASSED, history.run, detail, retry_at_unix_s)
 
     def _exhausted_refusal(
@@ -247,7 +248,7 @@
         return refuse(kind, history.run, f"{verdict.value}: {result.detail}", retry_at_unix_s)
 
     def _final_refusal(self, refusal: Refusal, history: AttemptHistory) -> Refusal:
-        """Never say "not run" where an earlier attempt may have run."""
+        """Return the refusal without "not run" if an earlier attempt may have run."""
         if refusal.run is Run.NO and history.run is Run.UNKNOWN:
             return refuse(Kind.OUTCOME_UNKNOWN, Run.UNKNOWN, refusal.detail)
         return refusal
--- a/src/pomelobarrow/dispatch/entry.py
+++ b/src/pomelobarrow/dispatch/entry.py
@@ -1,4 +1,4 @@
-"""Take a request from a caller or a peer and count it until it ends."""
+"""Admit requests of callers and peers and count them until they end."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -24,7 +24,7 @@
 
 @define(kw_only=True)
 class EntryDispatch:
-    """Admit requests and count those in progress."""
+    """Admit requests, trace them and count those in progress."""
 
     dispatcher: Dispatcher
     claims: ClaimedDispatch
@@ -37,7 +37,7 @@
     async def dispatch(
         self, request: GatewayRequest, account: Account, sink: AnswerSink
     ) -> Refusal | None:
-        """Answer a caller's request, within its account's limits."""
+        """Dispatch a caller's request within the limits of its account."""
         admitted = admit_account(request.work, account, self.limits, now_unix_s())
         if isinstance(admitted, Err):
             return await self._over_limit(request, admitted.err_value, sink)
@@ -55,13 +55,13 @@
         return refusal
 
     async def dispatch_forwarded(self, request: GatewayRequest, sink: AnswerSink) -> Refusal | None:
-        """Answer a peer's request; its entry VM has counted it against the account."""
+        """Dispatch a forwarded request; its entry VM has counted it against the account."""
         return await self._counted("forwarded", request, partial(self._dispatch, sink=sink))
 
     async def resume_forwarded(
         self, request: GatewayRequest, server: str, from_event: int, sink: AnswerSink
     ) -> Refusal | None:
-        """Fetch the rest of a peer's stream; nothing here can run it."""
+        """Fetch the rest of a stream for a peer without running the request."""
         fetch = partial(self.resumed.fetch, server_name=server, from_event=from_event, sink=sink)
         return await self._counted("resumed", request, fetch)
 
--- a/src/pomelobarrow/dispatch/events.py
+++ b/src/pomelobarrow/dispatch/events.py
@@ -1,4 +1,4 @@
-"""Events about requests."""
+"""Events about requests for logs and metrics."""
 
 from attrs import frozen
 
@@ -37,7 +37,7 @@
 
 @frozen
 class Forwarded:
-    """Report that a request was passed on to a peer."""
+    """Report that a request was forwarded to a peer."""
 
     request_id: str
     class_name: str
@@ -47,7 +47,7 @@
 
 @frozen(kw_only=True)
 class ServerLimitNamed:
-    """Report that a server names another limit than before; None where it names none."""
+    """Report that a server states a new rate limit; None if it no longer states one."""
 
     server: str
     limit_per_s: float | None
--- a/src/pomelobarrow/dispatch/forwarder.py
+++ b/src/pomelobarrow/dispatch/forwarder.py
@@ -1,4 +1,4 @@
-"""What the dispatcher needs of the peers."""
+"""Interface through which the dispatcher forwards requests to peers."""
 
 from collections.abc import Mapping
 from typing import Protocol
@@ -11,10 +11,10 @@
 
 
 class Forwarder(Protocol):
-    """Pass a request on to one peer, which runs it or refuses it."""
+    """Forward a request to one peer, which runs or refuses it."""
 
     def region_loads(self, work: Work) -> Mapping[str, RegionLoad]:
-        """Return what is known of the other regions' pools."""
+        """Return the known load of the pool in other regions."""
 
     async def forward_to_region(
         self,
@@ -24,7 +24,7 @@
         sink: AnswerSink,
         excluded: frozenset[str],
     ) -> AttemptResult:
-        """Send to a live peer of a region, leaving out the excluded ones."""
+        """Send to a live peer of a region other than the excluded ones."""
 
     async def forward_to_issuer(
         self, vm: str, incarnation: int, request: GatewayRequest, attempt: Attempt, sink: AnswerSink
--- a/src/pomelobarrow/dispatch/local.py
+++ b/src/pomelobarrow/dispatch/local.py
@@ -1,4 +1,4 @@
-"""Place waiting work on this region's backend servers and run it there."""
+"""Queue work, place it on backend servers of this region and run it."""
 
 import asyncio
 import itertools
@@ -30,7 +30,7 @@
 LOOP_STEPS_BEFORE_SENDING = 2
 MIN_DRAIN_PER_S = 1e-6
 
-# Runs one attempt on a placed server.
+# Runs one attempt on the chosen server.
 AttemptRunner = Callable[
     [GatewayRequest, Placement, Attempt, int, AnswerSink, Callable[[], None]],
     Awaitable[AttemptResult],
@@ -39,7 +39,7 @@
 
 @define(kw_only=True)
 class Waiter:
-    """Hold one request waiting for a backend server."""
+    """Represent one request that waits for a backend server."""
 
     excluded: frozenset[str]
     placed: "asyncio.Future[Placement]"
@@ -47,7 +47,7 @@
 
 @define(kw_only=True)
 class LocalDispatch:
-    """Hold the queues of this region's pools and what is known of its servers."""
+    """Queue the work of each pool and run it on the servers of this region."""
 
     table: LoadTable
     run_attempt: AttemptRunner
@@ -75,7 +75,7 @@
         excluded: frozenset[str],
         sink: AnswerSink,
     ) -> AttemptResult:
-        """Wait for a place, run one attempt there and give the place back."""
+        """Wait for a slot on a server, run one attempt there and release the slot."""
         self._refuse_if_unservable(request.work)
         queued = self._with_unique_id(request.work)
         placement = await self._wait_for_placement(queued, excluded)
@@ -102,18 +102,18 @@
         return result
 
     def _with_unique_id(self, work: Work) -> Work:
-        """Return the work under a name that no other run of the same request has.
+        """Return the work under an id that is unique among the runs of the same request.
 
-        A forward that was lost comes again, maybe before its first run here has ended.
+        A forward that was lost may be sent again before its first run here has ended.
         """
         return evolve(work, request_id=f"{work.request_id}#{next(self._serial)}")
 
     async def _process_pending_cancellations(self) -> None:
-        """Read what the sockets hold before anything is sent.
+        """Process closed connections before anything is sent.
 
-        A process that was frozen wakes with requests whose callers have long left, and would
-        run them although the entry VM has answered. The first step of the loop reads the closed
-        connections and the second cancels what depended on them.
+        A process that resumes after a freeze holds requests whose callers have long left, and would
+        run them although the entry VM has answered. The first step of the event loop reads the
+        closed connections, the second cancels the tasks that depend on them.
         """
         for _ in range(LOOP_STEPS_BEFORE_SENDING):
             await asyncio.sleep(0)
@@ -121,15 +121,15 @@
     async def _record_server_end(
         self, request: GatewayRequest, placement: Placement, result: AttemptResult
     ) -> None:
-        """Learn whether a server ended under a request, or answered it."""
+        """Record whether a server ended under a request or answered it."""
         if result.is_finished:
             self.guard.note_answered(request.fingerprint)
-        # Past the deadline nothing is sent again, and the caller waits for no finding.
+        # After the deadline there is no retry, so the caller must not wait for the crash check.
         elif result.state is AttemptState.UNKNOWN and now_unix_s() < request.work.deadline_unix_s:
             await self.guard.note_closed(placement.server, request.fingerprint)
 
     def _refuse_blocked(self, request: GatewayRequest) -> None:
-        """Refuse a request that was found to end servers while it waited for a place."""
+        """Refuse a request that was found to crash servers while it waited in the queue."""
         work = request.work
         if self.guard.refuses_after_wait(request.fingerprint):
             raise RefusedError(
@@ -137,7 +137,7 @@
             )
 
     def expected_wait_s(self, work: Work) -> float:
-        """Return the seconds that new work would wait for a place here."""
+        """Return the expected wait of new work for a slot in this region."""
         now = now_unix_s()
         queue = self.queue(work.pool)
         ahead = queue.ahead(work, now)
@@ -145,7 +145,7 @@
         if next_unix_s is not None and not ahead:
             return min(MAX_RETRY_AFTER_S, next_unix_s - now)
         if not ahead:
-            # Mostly nothing waits, and adding up the servers costs more than all the rest here.
+            # The usual case; summing over the servers costs more than the rest of this function.
             return 0.0
         drain_per_s = max(self.table.drain_per_s(work.pool, now), MIN_DRAIN_PER_S)
         return ahead * max(1.0 / drain_per_s, queue.s_per_ahead(work.rank, now))
@@ -163,20 +163,20 @@
             raise RefusedError(refusal)
 
     def place_waiting(self, pool: str) -> None:
-        """Place as much waiting work as has room now."""
+        """Place waiting work while servers have free slots."""
         queue = self.queue(pool)
         now = now_unix_s()
         while self._waiters and self._place_next(queue, now):
             pass
 
     async def wait_for_work(self) -> None:
-        """Return once a request waits for a place."""
+        """Return once a request is waiting for a server."""
         if not self._waiters:
             self._has_waiting.clear()
         await self._has_waiting.wait()
 
     def sweep(self) -> None:
-        """Refuse at once what can no longer finish, then place what has room."""
+        """Refuse work that can no longer finish in time, then place waiting work."""
         now = now_unix_s()
         for pool, queue in self.queues.items():
             for work in queue.expired(now, self._min_service_s):
@@ -185,10 +185,11 @@
                 self.place_waiting(pool)
 
     def _min_service_s(self, work: Work) -> float:
-        """Return the seconds that work needs once it is placed, or it is refused as too late.
+        """Return the seconds before the deadline by which work must be placed.
 
-        Started late, trial work was cut off at its deadline: its caller had half an answer and the
-        engine had worked for nothing. Paying work may always try, as its time is only a mean.
+        Trial work that starts too late is cut off at its deadline, which leaves its caller with an
+        incomplete answer and wastes the engine's work. Paying work may always start, because the
+        expected service time is only a mean.
         """
         return self.table.service_times(work.pool).hold_s if work.rank is Rank.TRIAL else 0.0
 
@@ -198,7 +199,7 @@
             return False
         work, placement = placed.work, placed.placement
         waiter = self._waiters.pop(work.request_id)
-        # Cancelled a moment ago, it gets to leave the queue only in the loop's next step.
+        # A cancelled request is removed from the queue only in the next step of the event loop.
         if waiter.placed.done():
             return True
         tokens = prefill_tokens(work, placement.cached_tokens)
@@ -208,9 +209,9 @@
         return True
 
     def _excluded(self, work: Work) -> frozenset[str]:
-        """Return the servers to leave out; none where no other is left, or it would wait for ever.
+        """Return the servers to exclude; none if no other is usable, or the work would never run.
 
-        The attempts are counted and paused by whoever makes them.
+        The caller of `run` limits the number of attempts and pauses between them.
         """
         excluded = self._waiters[work.request_id].excluded
         if not excluded:
@@ -233,7 +234,7 @@
             raise
 
     def _withdraw(self, work: Work, placed: "asyncio.Future[Placement]") -> None:
-        """Leave the queue; a place given in the same loop step goes to the next."""
+        """Leave the queue; a slot assigned in the same loop step goes to the next request."""
         self._waiters.pop(work.request_id, None)
         self.queue(work.pool).remove(work.request_id)
         if placed.done() and not placed.cancelled():
@@ -265,7 +266,7 @@
 
 
 class QueueSweeper(Service):
-    """Sweep the queues while work waits."""
+    """Run the sweep periodically while work is waiting."""
 
     def __init__(self, local: LocalDispatch) -> None:
         super().__init__()
@@ -274,7 +275,7 @@
     @Service.task
     async def _sweep(self) -> None:
         while not self.should_stop:
-            # Twenty wake-ups a second with nothing to do cost a sixth of an idle VM's budget.
+            # Waiting here avoids twenty idle wake-ups a second, a sixth of an idle VM's CPU budget.
             await self._local.wait_for_work()
             self._local.sweep()
             await asyncio.sleep(SWEEP_EVERY_S)
--- a/src/pomelobarrow/dispatch/plugin.py
+++ b/src/pomelobarrow/dispatch/plugin.py
@@ -1,4 +1,4 @@
-"""The dispatch plug-in: queues, claims and the dispatcher."""
+"""The dispatch plug-in: queues, id claims and the dispatcher."""
 
 import secrets
 
@@ -30,7 +30,7 @@
 
 @hookimpl
 def provide_parts(context: Context) -> None:
-    """Register what brings requests to an end."""
+    """Register the parts that dispatch requests."""
     context.provide(AccountLimits, lambda _: AccountLimits())
     context.provide(ShareOutsideHome, lambda _: ShareOutsideHome())
     context.provide(CrashSuspects, lambda c: CrashSuspects(own_vm=c.settings.vm))
@@ -44,7 +44,7 @@
 
 @hookimpl
 def services(context: Context) -> list[PhasedService]:
-    """Sweep the queues; follow the classes' published shares."""
+    """Start the queue sweeper and apply the published shares of the classes."""
     published, share = context.get(PublishedState), context.get(ShareOutsideHome)
 
     def on_applied(name: str, source: str) -> None:
@@ -59,7 +59,7 @@
 
 @hookimpl
 def status(context: Context) -> StatusSection:
-    """Say what is in progress and what waits."""
+    """Report the requests in progress and those that wait."""
     local, entry = context.get(LocalDispatch), context.get(EntryDispatch)
     values = {
         "in_progress": entry.in_progress,
--- a/src/pomelobarrow/dispatch/recording.py
+++ b/src/pomelobarrow/dispatch/recording.py
@@ -1,4 +1,4 @@
-"""Keep an answer for a repeat while passing it on."""
+"""Record an answer for repeats of the request while sending it to the caller."""
 
 from collections.abc import Coroutine
 
@@ -8,7 +8,7 @@
 
 
 class RecordingSink:
-    """Pass an answer on, keep it up to a bound, and go on when the caller leaves."""
+    """Forward an answer, record it up to a size limit and continue if the caller disconnects."""
 
     def __init__(self, sink: AnswerSink) -> None:
         self._sink: AnswerSink | None = sink
@@ -17,24 +17,24 @@
         self._size_bytes = 0
 
     def detach(self) -> None:
-        """Stop passing the answer on; nobody waits for it."""
+        """Stop forwarding the answer because its caller has left."""
         self._sink = None
 
     def outcome(self) -> Outcome:
-        """Return what a repeat is to get."""
+        """Return the recorded outcome for a repeat."""
         head = self._head or AnswerHead(502)
         is_kept = self._size_bytes <= MAX_BODY_BYTES
         body = b"".join(self._parts) if is_kept else None
         return Outcome(status=head.status, headers=head.headers, body=body)
 
     async def head(self, head: AnswerHead) -> None:
-        """Keep and pass on."""
+        """Record and forward the head."""
         self._head = head
         if self._sink is not None:
             await self._forward(self._sink.head(head))
 
     async def chunk(self, data: bytes) -> None:
-        """Keep while there is room, and pass on."""
+        """Record the bytes up to the size limit and forward them."""
         self._size_bytes += len(data)
         if self._size_bytes <= MAX_BODY_BYTES:
             self._parts.append(data)
@@ -44,12 +44,12 @@
             await self._forward(self._sink.chunk(data))
 
     async def end(self) -> None:
-        """Pass on."""
+        """Forward the end of the answer."""
         if self._sink is not None:
             await self._forward(self._sink.end())
 
     async def abort(self, refusal: Refusal) -> None:
-        """Pass on."""
+        """Forward the abort."""
         if self._sink is not None:
             await self._forward(self._sink.abort(refusal))
 
--- a/src/pomelobarrow/dispatch/refusals.py
+++ b/src/pomelobarrow/dispatch/refusals.py
@@ -1,12 +1,12 @@
-"""Build typed refusals; each names what to do next."""
+"""Build typed refusals, each with a remedy."""
 
 from pomelobarrow.decision.errors import Kind, Refusal, Run
 from pomelobarrow.kernel.clock import now_unix_s
 
-REMEDY_LATER = "come back at the time in Retry-After"
+REMEDY_LATER = "retry at the time in Retry-After"
 REMEDY_OTHER_ENTRY = "ask GET /v1/entries for another entry VM"
-REMEDY_UNKNOWN = "check at the receiver whether it ran before sending it again"
-REMEDY_DEADLINE = "send it again with a later Pomelobarrow-Deadline if it is still wanted"
+REMEDY_UNKNOWN = "check at the receiver whether the request ran before sending it again"
+REMEDY_DEADLINE = "send it again with a later Pomelobarrow-Deadline if it is still needed"
 REMEDY_BY_KIND = {
     Kind.OVERLOADED: REMEDY_LATER,
     Kind.NO_CAPACITY: REMEDY_LATER,
@@ -16,14 +16,14 @@
     Kind.DRAINING: REMEDY_OTHER_ENTRY,
     Kind.NOT_READY: REMEDY_OTHER_ENTRY,
     Kind.OUTCOME_UNKNOWN: REMEDY_UNKNOWN,
-    Kind.ANSWER_NOT_KEPT: "it ran to its end; don't send it again",
+    Kind.ANSWER_NOT_KEPT: "the request ran to its end; don't send it again",
     Kind.ID_REFUSED: "take a request id from GET /v1/entries and send that as Idempotency-Key",
-    Kind.CRASHES_SERVERS: "don't send it again as it is: it ends the servers that run it",
+    Kind.CRASHES_SERVERS: "don't send it again unchanged: it crashes the servers that run it",
     Kind.STILL_RUNNING: "repeat it under the same Idempotency-Key at the time in Retry-After",
 }
 
-# What passes by itself gets a time to come back even where no wait could be estimated: a caller
-# without one asks again at once, and again.
+# Temporary conditions get a retry time even if no wait could be estimated, because a caller without
+# one retries immediately and repeatedly.
 RETRY_AFTER_S_BY_KIND = {
     Kind.OVERLOADED: 1.0,
     Kind.NO_CAPACITY: 1.0,
@@ -37,7 +37,7 @@
 def refuse(
     kind: Kind, run: Run, detail: str, retry_at_unix_s: float | None = None, remedy: str = ""
 ) -> Refusal:
-    """Return a refusal with the remedy and the time to come back that belong to its kind."""
+    """Return a refusal with the remedy and the retry time of its kind."""
     if retry_at_unix_s is None and kind in RETRY_AFTER_S_BY_KIND:
         retry_at_unix_s = now_unix_s() + RETRY_AFTER_S_BY_KIND[kind]
     return Refusal(
@@ -50,7 +50,7 @@
 
 
 class RefusedError(Exception):
-    """Carry a refusal up to whoever answers."""
+    """Carry a refusal to the code that answers the request."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.detail)
--- a/src/pomelobarrow/dispatch/request.py
+++ b/src/pomelobarrow/dispatch/request.py
@@ -1,4 +1,4 @@
-"""A request as the dispatcher sees it."""
+"""The request type of the dispatcher."""
 
 from collections.abc import Callable
 from functools import cached_property
@@ -12,15 +12,16 @@
 from pomelobarrow.decision.work import Work
 from pomelobarrow.dispatch.answers import Headers
 
-# Stand between a request's id and the number of a later attempt, made by the entry VM or by the VM
-# that it passed the request on to: neither knows the other's numbers. No URL needs them escaped.
+# Separate a request's id from the number of a later attempt. The entry VM and the VM that it
+# forwards to number their attempts independently, so each has its own mark. Neither mark needs to
+# be escaped in a URL.
 ENTRY_ATTEMPT_MARK = "~"
 FORWARDED_ATTEMPT_MARK = "."
 
 
 @frozen(kw_only=True)
 class GatewayRequest:
-    """Hold a checked request with the work it stands for."""
+    """Represent a validated request with the work derived from it."""
 
     work: Work
     work_class: WorkClass
@@ -33,25 +34,27 @@
     headers: Headers = ()
     body: bytes = b""
     traceparent: str = ""
-    # Set on a request that another entry VM passed on: it runs here or is refused, so no
-    # view of the fleet, however wrong, can send it in a circle.
+    # The entry VM that forwarded the request. Such a request runs here or is refused, so that VMs
+    # with different views of the fleet can't send it in a loop.
     forwarded_by: str | None = None
-    # Asked when the reader has gone: True where it may fetch the rest of a stream through another
-    # VM, so that the backend server must not be told to cancel.
+    # Called when the reader has gone. Returns True if only the link to it was lost. It may then
+    # fetch the rest of a stream through another VM, so the backend server must not cancel the
+    # request.
     is_link_lost: Callable[[], bool] = field(default=lambda: False, eq=False)
-    # Filled in as attempts start, so that whoever cancels can say whether any may have run.
+    # Filled in as attempts start, so that a cancellation can report whether any may have run.
     attempts: list[Attempt] = field(factory=list, eq=False)
 
     @cached_property
     def fingerprint(self) -> int:
-        """Return what names this request and those that are the same."""
+        """Return a hash that is equal for requests with the same account, method, path and body."""
         return fingerprint(self.work.account, self.method, "", self.path, self.body)
 
     def for_attempt(self, number: int) -> Self:
         """Return the request under an id that no earlier attempt on an engine had.
 
-        An engine refuses an id for good that it has cancelled before its start, so that "not run"
-        stays true of a copy still on its way. A service may know repeats by their id.
+        An engine that has cancelled an id before its start refuses that id permanently, so that
+        "not run" stays true of a copy still in transit. A service keeps the id, because it may
+        detect repeats by it.
         """
         if number == 1 or not self.is_chat:
             return self
@@ -60,7 +63,7 @@
         return evolve(self, work=evolve(self.work, request_id=request_id))
 
     def with_traceparent(self, traceparent: str) -> Self:
-        """Return the request as the next hop is to get it; itself where traces are off."""
+        """Return the request for the next hop; the same object if traces are off."""
         if traceparent == self.traceparent:
             return self
         return evolve(self, traceparent=traceparent)
--- a/src/pomelobarrow/dispatch/resumed.py
+++ b/src/pomelobarrow/dispatch/resumed.py
@@ -1,4 +1,4 @@
-"""Fetch the rest of a stream that another entry VM of this region relayed before."""
+"""Fetch the rest of a stream that another entry VM of this region relayed until now."""
 
 from collections.abc import Awaitable, Callable
 
@@ -11,13 +11,13 @@
 from pomelobarrow.dispatch.refusals import refuse
 from pomelobarrow.dispatch.request import GatewayRequest
 
-# Fetches the events of a request from one on; it can't send the request.
+# Fetches the events of a request from a given number on; never sends the request itself.
 RestFetcher = Callable[[GatewayRequest, BackendServer, int, AnswerSink], Awaitable[AttemptResult]]
 
 
 @define(kw_only=True)
 class ResumedDispatch:
-    """Hold what fetching the rest of a stream needs."""
+    """Relay the rest of a stream from the server that runs its request."""
 
     table: LoadTable
     fetch_rest: RestFetcher
@@ -25,11 +25,11 @@
     async def fetch(
         self, request: GatewayRequest, server_name: str, from_event: int, sink: AnswerSink
     ) -> Refusal | None:
-        """Relay the rest from the server that runs the request, or return why not."""
+        """Relay the rest from the server that runs the request, or return a refusal."""
         listed = self.table.pool_servers(request.work.pool)
         server = next((each for each in listed if each.name == server_name), None)
         if server is None:
-            detail = f"{server_name} isn't listed in this region"
+            detail = f"{server_name} is not listed in this region"
             return refuse(Kind.OUTCOME_UNKNOWN, Run.UNKNOWN, detail)
         result = await self.fetch_rest(request, server, from_event, sink)
         if result.is_finished:
