--- a/tests/gateway_requests.py
+++ b/tests/gateway_requests.py
@@ -1,4 +1,4 @@
-"""Build requests as the dispatcher gets them."""
+"""Build requests for the dispatcher."""
 
 import time
 from typing import Any
@@ -11,7 +11,7 @@
 
 
 def request_of(repeatable: bool, **changes: Any) -> GatewayRequest:
-    """Return a streamed chat request of now, with other fields of its work where given."""
+    """Return a streamed chat request accepted now; `changes` replace fields of its work."""
     now = time.time()
     work = Work(
         request_id="id",
--- a/tests/held_streams.py
+++ b/tests/held_streams.py
@@ -1,4 +1,4 @@
-"""Hold long streams while something happens to the processes that carry them."""
+"""Keep long streams open while faults are injected into the processes that carry them."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 
 class HeldStreams:
-    """Hold long streams that have begun."""
+    """Start long streams and collect their replies."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -19,7 +19,7 @@
         self._begun: list[asyncio.Event] = []
 
     def start(self, vm: str, account: str, class_name: str, model: str, **headers: str) -> None:
-        """Send one long stream to an entry VM."""
+        """Request one long stream from an entry VM."""
         begun = asyncio.Event()
         body = chat_body(model, STREAM_TOKENS, "Read this lockfile. " * 40)
         address = self.fleet.entries[vm].advertised_caller
@@ -30,7 +30,7 @@
         self._begun.append(begun)
 
     async def wait_until_started(self) -> None:
-        """Return once every stream has brought its first token or ended."""
+        """Return once every stream has delivered its first token or ended."""
         await asyncio.gather(*(begun.wait() for begun in self._begun))
 
     async def replies(self) -> list[Reply]:
@@ -39,7 +39,7 @@
 
 
 async def wait_for_exit(fleet: Fleet, vm: str) -> int:
-    """Return the exit code of a process that ends."""
+    """Wait for a process to end and return its exit code."""
     process = fleet.processes.running[vm]
 
     async def has_ended() -> bool:
--- a/tests/relay_harness.py
+++ b/tests/relay_harness.py
@@ -1,4 +1,4 @@
-"""Relays of several regions in this process, before scripted servers."""
+"""Run relays of several regions in this process in front of scripted servers."""
 
 from collections.abc import AsyncIterator, Mapping
 from contextlib import AsyncExitStack, asynccontextmanager
@@ -29,11 +29,11 @@
 
 HOST = "shop.example"
 POOL = "engines"
-PLENTY = RetryBound(ratio=1.0, slack=1_000.0, window_s=10.0)
+AMPLE_RETRIES = RetryBound(ratio=1.0, slack=1_000.0, window_s=10.0)
 
 
 def route(kind: RouteKind, **more: object) -> Route:
-    """Return a route under its kind's name."""
+    """Return a route named after its kind."""
     fields: dict[str, object] = {
         "name": kind.value,
         "host": HOST,
@@ -48,7 +48,7 @@
 
 @define(kw_only=True)
 class RelayVm:
-    """Hold one VM's relay and where it listens."""
+    """Represent the relay of one VM with its addresses and events."""
 
     region: str
     host: str
@@ -61,13 +61,13 @@
 
     @property
     def url(self) -> str:
-        """Return where clients connect."""
+        """Return the URL that clients connect to."""
         return f"http://{self.host}:{self.front_port}"
 
 
 @define(kw_only=True)
 class RelayFleet:
-    """Hold a running VM of each region and all servers."""
+    """Represent one running VM per region and all servers."""
 
     vms: Mapping[str, RelayVm]
     servers: Mapping[str, ScriptedServer]
@@ -75,7 +75,7 @@
 
 @frozen
 class Answer:
-    """Hold what a client got."""
+    """Represent the complete answer that a client received."""
 
     status: int
     headers: dict[str, str]
@@ -83,7 +83,7 @@
 
 
 async def ask(vm: RelayVm, path: str, **more: Any) -> Answer:
-    """Ask a VM like a client and return the whole answer."""
+    """Send a request to a VM like a client and return the complete answer."""
     headers = {
         "Host": HOST,
         "Pomelobarrow-Request-Id": "r1",
@@ -101,12 +101,12 @@
 async def relay_fleet(
     routes: tuple[Route, ...],
     servers_by_region: Mapping[str, Mapping[str, Script]],
-    bound: RetryBound = PLENTY,
+    bound: RetryBound = AMPLE_RETRIES,
 ) -> AsyncIterator[RelayFleet]:
-    """Run a VM for each region, each on a loopback address of its own."""
+    """Run one VM per region, each on its own loopback address."""
     async with AsyncExitStack() as stack:
         front_port, hop_port = free_ports(2)
-        hosts = {region: f"127.0.0.{place + 1}" for place, region in enumerate(servers_by_region)}
+        hosts = {region: f"127.0.0.{index + 1}" for index, region in enumerate(servers_by_region)}
         servers: dict[str, ScriptedServer] = {}
         listed: list[BackendServer] = []
         for region, scripts in servers_by_region.items():
--- a/tests/scripted_server.py
+++ b/tests/scripted_server.py
@@ -1,4 +1,4 @@
-"""A backend server of relayed requests that does what a test tells it, byte for byte."""
+"""A backend server whose behaviour a test scripts, byte for byte."""
 
 import asyncio
 import struct
@@ -13,7 +13,7 @@
 
 @frozen(kw_only=True)
 class Received:
-    """Hold a request as it came."""
+    """Represent a request as received."""
 
     line: str
     headers: dict[str, str]
@@ -22,7 +22,7 @@
 
 @define(kw_only=True)
 class Exchange:
-    """Hold one request and the connection to answer it on."""
+    """Represent one request and the connection to answer it on."""
 
     received: Received
     reader: asyncio.StreamReader
@@ -30,7 +30,7 @@
     server: "ScriptedServer"
 
     def write_head(self, status: int, **more: str) -> None:
-        """Write an answer's head with the request's id and the seal."""
+        """Write the head of an answer with the id of the request and the seal."""
         fields = {
             "Pomelobarrow-Request-Id": self.received.headers["pomelobarrow-request-id"],
             "Pomelobarrow-Response-Seal": SEAL,
@@ -44,7 +44,7 @@
         self.writer.write(b"%x\r\n%s\r\n" % (len(data), data))
 
     def reset(self) -> None:
-        """Reset the connection: without the option a close would end it in good order."""
+        """Reset the connection; without the linger option, closing would end it regularly."""
         socket = self.writer.get_extra_info("socket")
         socket.setsockopt(SOL_SOCKET, SO_LINGER, struct.pack("ii", 1, 0))
         self.writer.transport.abort()
@@ -55,7 +55,7 @@
 
 @define(kw_only=True)
 class ScriptedServer:
-    """Hold a listening server, its script and what it received."""
+    """Listen, run the script for each request and record the requests."""
 
     name: str
     host: str
@@ -76,12 +76,12 @@
 
     @property
     def address(self) -> str:
-        """Return where it listens."""
+        """Return the listening address."""
         assert self._server is not None
         return f"{self.host}:{self._server.sockets[0].getsockname()[1]}"
 
     def end(self) -> None:
-        """End like a process that crashes: nothing listens, and all connections are closed."""
+        """Act like a crashed process: stop listening and close all connections."""
         assert self._server is not None
         self.has_ended = True
         self._server.close()
@@ -103,7 +103,7 @@
 
 
 def answers(status: int = 200, body: bytes = b"whole") -> Script:
-    """Answer whole."""
+    """Send a complete answer."""
 
     async def script(exchange: Exchange) -> None:
         exchange.write_head(status, Content_Length=str(len(body)))
@@ -113,7 +113,7 @@
 
 
 def refuses(status: int = 503) -> Script:
-    """Say that the request did not run."""
+    """Refuse the request as not run."""
 
     async def script(exchange: Exchange) -> None:
         exchange.write_head(status, Pomelobarrow_Not_Executed="1", Content_Length="0")
@@ -130,14 +130,14 @@
     return script
 
 
-def ends_on(body: bytes, otherwise: Script) -> Script:
-    """End the server under a request with a certain body."""
+def crashes_on(body: bytes, otherwise: Script) -> Script:
+    """End the server under a request with the given body."""
 
     async def script(exchange: Exchange) -> None:
         if exchange.received.body != body:
             await otherwise(exchange)
             return
-        # A stream has sent its head and an event by then.
+        # A stream sends its head and one event before the server ends.
         if exchange.received.line.split()[1].startswith("/stream/"):
             last = int(exchange.received.headers.get("last-event-id", "0"))
             await streams(9, breaks_after=last + 1)(exchange)
@@ -152,7 +152,7 @@
 
 
 def streams(last: int, breaks_after: int | None = None, half: bytes = b"") -> Script:
-    """Stream events after the one asked for, or break off after one and the half of the next."""
+    """Stream the events after the requested one; optionally break off within the next event."""
 
     async def script(exchange: Exchange) -> None:
         first = int(exchange.received.headers.get("last-event-id", "0")) + 1
@@ -165,8 +165,8 @@
                     exchange.write_chunk(half)
                 await exchange.writer.drain()
                 await asyncio.sleep(0)
-                # A reset drops what the reader hasn't read yet; the end without the last chunk
-                # is as incomplete.
+                # A reset would drop data that the reader has not read yet. Closing without the last
+                # chunk leaves the body incomplete as well.
                 exchange.writer.close()
                 return
         exchange.writer.write(b"0\r\n\r\n")
@@ -174,8 +174,8 @@
     return script
 
 
-def holds() -> Script:
-    """Answer nothing until the connection is lost."""
+def hangs() -> Script:
+    """Send no answer until the connection is lost."""
 
     async def script(exchange: Exchange) -> None:
         await exchange.reader.read()
--- a/tests/slow_reader.py
+++ b/tests/slow_reader.py
@@ -1,4 +1,4 @@
-"""Ask for an answer and leave it unread."""
+"""Request answers without reading them."""
 
 import asyncio
 import socket
@@ -9,7 +9,7 @@
 
 from harness.fleet import Fleet
 
-SLOW_READER_ROOM_BYTES = 16 << 10
+RECEIVE_BUFFER_BYTES = 16 << 10
 LARGEST_ANSWER_BYTES = 7 << 20
 BUFFER_STEP_BYTES = 16 << 10
 BUFFER_PROBE_S = 0.5
@@ -17,7 +17,7 @@
 
 @define
 class SlowReader:
-    """Hold a caller that has asked for its own bytes back and reads none of them yet."""
+    """Represent a caller that has requested an echo of its body and has not read any of it."""
 
     marker: str
     answer_bytes: int
@@ -25,17 +25,17 @@
     writer: asyncio.StreamWriter
 
     async def read_answer(self) -> bytes:
-        """Read the answer's body to its end."""
+        """Read the body of the answer to its end."""
         await self.reader.readuntil(b"\r\n\r\n")
         return await self.reader.read()
 
 
 async def ask_without_reading(fleet: Fleet, vm: str, answer_bytes: int) -> SlowReader:
-    """Ask for an answer of so many bytes, with little room for what was not read yet."""
+    """Request an answer of the given size with a small receive buffer."""
     sock = socket.socket()
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SLOW_READER_ROOM_BYTES)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
     sock.connect(("127.0.0.1", fleet.entries[vm].caller_port))
-    reader, writer = await asyncio.open_connection(sock=sock, limit=SLOW_READER_ROOM_BYTES)
+    reader, writer = await asyncio.open_connection(sock=sock, limit=RECEIVE_BUFFER_BYTES)
     marker = f"slow-{time.monotonic()}"
     more = {"Content_Length": str(answer_bytes), "X_Marker": marker}
     headers = fleet.headers("paying-milan", "status-check", **more)
@@ -45,8 +45,8 @@
     return SlowReader(marker, answer_bytes, reader, writer)
 
 
-async def is_passed_on(fleet: Fleet, vm: str, slow: SlowReader) -> bool:
-    """Tell whether the gateway gets rid of an answer that is not read."""
+async def is_answer_buffered(fleet: Fleet, vm: str, slow: SlowReader) -> bool:
+    """Return whether the gateway finishes sending an answer that is not read."""
 
     async def is_idle() -> bool:
         ended = [run["marker"] for run in await fleet.runs() if run["state"] == "finished"]
@@ -61,16 +61,18 @@
 
 
 async def request_largest_buffered_answer(fleet: Fleet, vm: str) -> SlowReader:
-    """Ask for the largest answer that counts as given before any of it is read.
+    """Request the largest answer that the gateway counts as sent before any of it is read.
 
-    The sockets' buffers are full then, and its last bytes wait in the process.
+    The socket buffers are then full, and the last bytes are still buffered in the process.
     """
-    least, most = 0, LARGEST_ANSWER_BYTES
+    low, high = 0, LARGEST_ANSWER_BYTES
     while True:
-        middle = (least + most) // 2
-        slow = await ask_without_reading(fleet, vm, middle)
-        is_given = await is_passed_on(fleet, vm, slow)
-        if is_given and most - least <= BUFFER_STEP_BYTES:
+        size_bytes = (low + high) // 2
+        slow = await ask_without_reading(fleet, vm, size_bytes)
+        is_buffered = await is_answer_buffered(fleet, vm, slow)
+        if is_buffered and high - low <= BUFFER_STEP_BYTES:
             return slow
         slow.writer.close()
-        least, most = (middle, most) if is_given else (max(0, least - BUFFER_STEP_BYTES), middle)
+        low, high = (
+            (size_bytes, high) if is_buffered else (max(0, low - BUFFER_STEP_BYTES), size_bytes)
+        )
--- a/tests/test_dispatch_charges.py
+++ b/tests/test_dispatch_charges.py
@@ -1,4 +1,4 @@
-"""A placement is charged all that its request may come to hold, and its answer is learned from."""
+"""Each placement is charged its expected memory, and output lengths are learned from answers."""
 
 import time
 from collections.abc import Callable
@@ -28,8 +28,8 @@
 )
 
 
-class SilentSink:
-    """Take an answer and keep nothing."""
+class NullSink:
+    """Discard an answer."""
 
     async def head(self, head: AnswerHead) -> None: ...
 
@@ -42,7 +42,7 @@
 
 @define
 class Engine:
-    """Answer at once, noting what the table counts meanwhile."""
+    """Answer immediately and record the memory that the load table has charged."""
 
     table: LoadTable
     kv_tokens: list[int] = field(factory=list)
@@ -65,7 +65,7 @@
 
 
 def request() -> GatewayRequest:
-    """Return a request of a class that was never seen."""
+    """Return a request of a class without any history."""
     now = time.time()
     work = Work(
         request_id="r",
@@ -96,7 +96,7 @@
     table.set_servers([SERVER])
     engine = Engine(table)
     local = LocalDispatch(table=table, run_attempt=engine.run, observe=lambda event: None)
-    await local.run(request(), Attempt(), 1, frozenset(), SilentSink())
-    # Not counted, prompts for more than the engine's memory were placed and waited there.
+    await local.run(request(), Attempt(), 1, frozenset(), NullSink())
+    # Without this charge, more prompts than fit the engine's memory are placed and wait there.
     assert engine.kv_tokens == [PROMPT_TOKENS + EXPECTED_TOKENS]
     assert local.output_estimate.expected_tokens("review") == OUTPUT_TOKENS
--- a/tests/test_dispatch_claims.py
+++ b/tests/test_dispatch_claims.py
@@ -27,7 +27,7 @@
 
 @define
 class Sink:
-    """Keep an answer."""
+    """Record an answer."""
 
     body: bytes = b""
     is_whole: bool = False
@@ -47,7 +47,7 @@
 
 @define
 class Forwarder:
-    """Pass requests to the issuer that a test names, as the peers' interface does."""
+    """Forward requests to the issuer set by a test, as the peer interface does."""
 
     issuer: "ClaimedDispatch | None" = None
 
@@ -63,7 +63,7 @@
 
 @define
 class Dispatcher:
-    """Run a request when a test says so, and count the runs."""
+    """Run a request when a test resolves it, and count the runs."""
 
     forwarder: Forwarder = field(factory=Forwarder)
     runs: Counter[str] = field(factory=Counter)
@@ -118,23 +118,23 @@
     return ClaimedDispatch(ledger=ledger, dispatcher=dispatcher), dispatcher
 
 
-async def steps() -> None:
+async def run_loop_steps() -> None:
     for _ in range(STEPS):
         await asyncio.sleep(0)
 
 
-async def told(answering: "asyncio.Task[Refusal | None]") -> Refusal | None:
-    await steps()
+async def result_of(answering: "asyncio.Task[Refusal | None]") -> Refusal | None:
+    await run_loop_steps()
     return answering.result()
 
 
-async def test_a_caller_that_leaves_finds_the_outcome_by_a_repeat() -> None:
+async def test_repeat_after_a_disconnect_gets_the_outcome() -> None:
     claimed, dispatcher = claims()
     (request_id,) = claimed.ledger.issue(ACCOUNT, 1, time.time())
     first = asyncio.create_task(claimed.dispatch(request_of(request_id), Sink()))
-    await steps()
+    await run_loop_steps()
     first.cancel()
-    await steps()
+    await run_loop_steps()
     over: list[str] = []
     claimed.call_after_run(request_id, lambda: over.append("first"))
     repeat = await claimed.dispatch(request_of(request_id), Sink())
@@ -143,22 +143,22 @@
     assert repeat.kind is Kind.STILL_RUNNING
     assert over == ["repeat"]
     dispatcher.waiting[0].set_result(None)
-    await steps()
+    await run_loop_steps()
     assert over == ["repeat", "first"]
     sink = Sink()
     assert await claimed.dispatch(request_of(request_id), sink) is None
     assert (sink.body, sink.is_whole) == (b"done", True)
 
 
-async def test_an_account_over_its_limit_still_learns_what_ran() -> None:
-    """A ping ran, its answer was lost, and the repeat comes while the account is over its limit.
+async def test_repeat_by_an_account_over_its_limit_gets_the_outcome() -> None:
+    """A request ran and its answer was lost; its account is over the limit when the repeat arrives.
 
-    "429, not run" would be true of the repeat and untrue of the ping.
+    Refusing the repeat with "429, not run" would be wrong about the request.
     """
     claimed, dispatcher = claims()
     used, unused = claimed.ledger.issue(ACCOUNT, 2, time.time())
     first = asyncio.create_task(claimed.dispatch(request_of(used), Sink()))
-    await steps()
+    await run_loop_steps()
     dispatcher.waiting[0].set_result(LOST)
     await first
     over = refuse(Kind.ACCOUNT_LIMIT, Run.NO, "over the limit", time.time() + 1)
@@ -175,10 +175,10 @@
 
 
 class OneIdAtMostOnce(RuleBasedStateMachine):
-    """Send copies of requests under issued ids to the issuer and past it, in any order.
+    """Send copies of requests under issued ids to the issuer or to another VM, in any order.
 
-    Runs end, get lost or are refused; callers leave; the issuer restarts. No id may run twice, and
-    one told "not run" may not have run and never runs later.
+    Runs end, get lost or are refused; callers disconnect; the issuer restarts. No id may run twice.
+    An id reported as "not run" must not have run and must never run later.
     """
 
     ids = Bundle("ids")
@@ -193,12 +193,12 @@
         self.other_forwarder = other_dispatcher.forwarder
         self.other_forwarder.issuer = self.issuer
         self.runs: Counter[str] = self.dispatcher.runs
-        self.told_unrun: set[str] = set()
+        self.reported_unrun: set[str] = set()
 
     def teardown(self) -> None:
         for task in asyncio.all_tasks(self.loop):
             task.cancel()
-        self.loop.run_until_complete(steps())
+        self.loop.run_until_complete(run_loop_steps())
         self.loop.close()
 
     @rule(target=ids)
@@ -209,28 +209,28 @@
     def send(self, request_id: str, past_issuer: bool) -> Any:
         entry = self.other if past_issuer else self.issuer
         task = self.loop.create_task(entry.dispatch(request_of(request_id), Sink()))
-        self.loop.run_until_complete(steps())
+        self.loop.run_until_complete(run_loop_steps())
         task.add_done_callback(lambda done: self.note(request_id, done))
-        self.loop.run_until_complete(steps())
+        self.loop.run_until_complete(run_loop_steps())
         return task
 
     @rule(request_id=ids)
     def refuse_at_the_limit(self, request_id: str) -> None:
         refusing = self.issuer.refuse(request_of(request_id), REFUSED, Sink())
         task = self.loop.create_task(refusing)
-        self.loop.run_until_complete(steps())
+        self.loop.run_until_complete(run_loop_steps())
         self.note(request_id, task)
 
     @rule(task=consumes(sent))
     def leave(self, task: Any) -> None:
         task.cancel()
-        self.loop.run_until_complete(steps())
+        self.loop.run_until_complete(run_loop_steps())
 
     @rule(verdict=st.sampled_from([None, REFUSED, LOST]))
     def end_oldest(self, verdict: Refusal | None) -> None:
         if self.dispatcher.waiting:
             self.dispatcher.waiting.pop(0).set_result(verdict)
-            self.loop.run_until_complete(steps())
+            self.loop.run_until_complete(run_loop_steps())
 
     @rule()
     def restart(self) -> None:
@@ -242,7 +242,7 @@
     def note(self, request_id: str, done: "asyncio.Task[Refusal | None]") -> None:
         refusal = None if done.cancelled() else done.result()
         if refusal is not None and refusal.run is Run.NO:
-            self.told_unrun.add(request_id)
+            self.reported_unrun.add(request_id)
 
     @invariant()
     def no_id_runs_twice(self) -> None:
@@ -250,7 +250,7 @@
 
     @invariant()
     def not_run_is_true_and_stays_so(self) -> None:
-        assert not self.told_unrun & self.runs.keys()
+        assert not self.reported_unrun & self.runs.keys()
 
 
 TestOneIdAtMostOnce = OneIdAtMostOnce.TestCase
--- a/tests/test_dispatch_crashing_request.py
+++ b/tests/test_dispatch_crashing_request.py
@@ -1,4 +1,4 @@
-"""Requests of the product's own interface that end the servers that run them."""
+"""Requests of the gateway interface that crash the servers that run them."""
 
 import asyncio
 import time
@@ -25,8 +25,8 @@
 
 
 @define
-class EndingServers:
-    """Lose each attempt because its server ended, and count the servers."""
+class CrashingServers:
+    """Lose each attempt because its server ends, and count these servers."""
 
     guard: CrashGuard
     table: LoadTable = field(factory=lambda: LoadTable("r"))
@@ -62,9 +62,9 @@
 
 
 @pytest.mark.parametrize("repeatable", [True, False])
-async def test_crashing_request_that_comes_again_ends_no_fourth_server(repeatable: bool) -> None:
+async def test_repeated_crashing_request_ends_at_most_three_servers(repeatable: bool) -> None:
     guard = CrashGuard()
-    servers = EndingServers(guard)
+    servers = CrashingServers(guard)
     dispatcher = dispatcher_of(servers, guard)
     refusals = [await dispatcher.dispatch(request_of(repeatable), Sink()) for _ in range(6)]
     assert servers.ended == 3
@@ -75,9 +75,9 @@
 
 
 async def test_request_is_not_repeated_once_two_servers_ended_under_it() -> None:
-    """One caller's request was tried again by itself until a third server had ended."""
+    """Automatic retries of one request must not crash a third server."""
     guard = CrashGuard()
-    servers = EndingServers(guard)
+    servers = CrashingServers(guard)
     refusal = await dispatcher_of(servers, guard).dispatch(request_of(True), Sink())
     assert servers.ended == 2
     assert refusal is not None
@@ -85,9 +85,9 @@
 
 
 async def test_peers_refusal_of_a_crashing_request_is_final() -> None:
-    """Taken for a busy region, it was followed by an attempt in another one."""
+    """Such a refusal must not be treated like overload and retried in another region."""
 
-    class Peers(EndingServers):
+    class Peers(CrashingServers):
         async def run(self, request: Any, attempt: Attempt, *rest: Any) -> AttemptResult:
             self.ended += 1
             return AttemptResult(
@@ -102,8 +102,8 @@
     assert (peers.ended, refusal and refusal.kind) == (1, Kind.CRASHES_SERVERS)
 
 
-async def test_request_that_waits_while_its_like_ends_servers_is_refused_unrun() -> None:
-    """Copies that waited in a queue were all sent once they had a place."""
+async def test_waiting_copy_of_a_crashing_request_is_refused_unrun() -> None:
+    """Copies that wait in a queue must not be sent once they get a slot."""
     guard, ran = CrashGuard(), []
 
     async def run_attempt(request: GatewayRequest, placement: Placement, *rest: Any) -> Any:
@@ -126,11 +126,11 @@
     assert (ran, dict(table.in_flight())) == ([], {})
 
 
-@pytest.mark.parametrize(("left_s", "looked_at"), [(60.0, ["s1"]), (-1.0, [])])
-async def test_caller_whose_deadline_passed_waits_for_no_finding(
-    left_s: float, looked_at: list[str]
+@pytest.mark.parametrize(("left_s", "checked_servers"), [(60.0, ["s1"]), (-1.0, [])])
+async def test_no_crash_check_delays_an_answer_after_the_deadline(
+    left_s: float, checked_servers: list[str]
 ) -> None:
-    """The answer at the deadline came a tenth of a second after it, from a silent server."""
+    """Checking a silent server must not delay the answer a tenth of a second past the deadline."""
     seen: list[str] = []
 
     class Guard(CrashGuard):
@@ -148,4 +148,4 @@
     placement = Placement(server=table.pool_servers("p")[0], expected_wait_s=0.0)
     late = evolve(request, work=evolve(request.work, deadline_unix_s=time.time() + left_s))
     await local._record_server_end(late, placement, await lose(late, placement))
-    assert seen == looked_at
+    assert seen == checked_servers
--- a/tests/test_dispatch_refusals.py
+++ b/tests/test_dispatch_refusals.py
@@ -1,4 +1,4 @@
-"""Refusals: every one that certainly did not run says when to come back, where that can help."""
+"""Refusals of requests that did not run state a retry time where a retry can succeed."""
 
 import pytest
 
@@ -8,15 +8,15 @@
 
 
 @pytest.mark.parametrize("kind", RETRY_AFTER_S_BY_KIND, ids=lambda kind: kind.label)
-def test_refusal_that_passes_by_itself_says_when_to_come_back(kind):
+def test_refusal_of_a_temporary_condition_states_a_retry_time(kind):
     started_unix_s = now_unix_s()
     refusal = refuse(kind, Run.NO, "not now")
     assert refusal.retry_at_unix_s >= started_unix_s + RETRY_AFTER_S_BY_KIND[kind]
 
 
-def test_estimated_time_goes_before_the_default():
+def test_estimated_retry_time_overrides_the_default():
     assert refuse(Kind.OVERLOADED, Run.NO, "full", 12.0).retry_at_unix_s == 12.0
 
 
-def test_unknown_outcome_names_no_time():
+def test_unknown_outcome_states_no_retry_time():
     assert refuse(Kind.DRAINING, Run.UNKNOWN, "stopping").retry_at_unix_s is None
--- a/tests/test_dispatch_server_limit.py
+++ b/tests/test_dispatch_server_limit.py
@@ -1,4 +1,4 @@
-"""Requests of the product's own interface before a server that names a limit."""
+"""Requests of the gateway interface to a server that states a rate limit."""
 
 import asyncio
 from typing import Any
@@ -20,8 +20,8 @@
 
 
 @define
-class Naming:
-    """Run each attempt at once on a server that names a limit with its answer."""
+class LimitingRunner:
+    """Run each attempt immediately on a server that states a limit with its answer."""
 
     table: LoadTable
     limit_per_s: float
@@ -35,29 +35,29 @@
         return AttemptResult(state=AttemptState.FINISHED, server=server.name)
 
 
-def local_of(servers: list[Any], limit_per_s: float) -> tuple[LocalDispatch, Naming]:
+def local_of(servers: list[Any], limit_per_s: float) -> tuple[LocalDispatch, LimitingRunner]:
     table = LoadTable("r")
     table.set_servers(servers)
-    naming = Naming(table, limit_per_s)
-    local = LocalDispatch(table=table, run_attempt=naming.run, observe=lambda event: None)
-    return local, naming
+    runner = LimitingRunner(table, limit_per_s)
+    local = LocalDispatch(table=table, run_attempt=runner.run, observe=lambda event: None)
+    return local, runner
 
 
 def request(number: int) -> GatewayRequest:
     return request_of(True, request_id=f"r{number}")
 
 
-async def test_limited_server_gets_no_more_than_it_says_and_others_the_rest() -> None:
-    """Its queue was empty, so that it was the first choice for every request."""
-    local, naming = local_of([LIMITED, OTHER], 0.01)
+async def test_limited_server_stays_within_its_limit_and_others_get_the_rest() -> None:
+    """Its queue is always empty, which would make it the first choice for every request."""
+    local, runner = local_of([LIMITED, OTHER], 0.01)
     for number in range(40):
         await local.run(request(number), Attempt(), 1, frozenset(), Sink())
-    assert len(naming.ran) == 40
-    assert naming.ran.count("s1") <= 2
+    assert len(runner.ran) == 40
+    assert runner.ran.count("s1") <= 2
 
 
 async def test_request_waits_for_its_turn_at_the_only_server() -> None:
-    local, naming = local_of([LIMITED], 20.0)
+    local, runner = local_of([LIMITED], 20.0)
     running = [
         asyncio.create_task(local.run(request(number), Attempt(), 1, frozenset(), Sink()))
         for number in range(4)
@@ -66,4 +66,4 @@
         while not all(task.done() for task in running):
             local.sweep()
             await asyncio.sleep(0.01)
-    assert naming.ran == ["s1"] * 4
+    assert runner.ran == ["s1"] * 4
--- a/tests/test_dispatch_slots.py
+++ b/tests/test_dispatch_slots.py
@@ -1,4 +1,4 @@
-"""Places are given to those that still wait for one, and each run of a request has its own."""
+"""Slots go only to requests that still wait, and each run of a request holds its own slot."""
 
 import asyncio
 import time
@@ -50,13 +50,13 @@
 
 
 class Local:
-    """Hold one server's places and the requests that want them."""
+    """Drive a local dispatch with one server and a configurable number of slots."""
 
     def __init__(self) -> None:
         self.engine = Engine()
         self.table = LoadTable("tallinn")
         self.table.set_servers([SERVER])
-        self.places = 1
+        self.slots = 1
         self.dispatch = LocalDispatch(
             table=self.table,
             run_attempt=self.engine.run,
@@ -76,18 +76,18 @@
     def _choose(
         self, table: LoadTable, work: Work, now: float, rng: Random, excluded: frozenset[str]
     ) -> Placement | None:
-        if self.requests_on_server >= self.places or SERVER.name in excluded:
+        if self.requests_on_server >= self.slots or SERVER.name in excluded:
             return None
         return Placement(server=SERVER, expected_wait_s=0.0)
 
     @property
     def requests_on_server(self) -> int:
-        """Count the places that are taken."""
+        """Return the number of slots in use."""
         return sum(each.requests for each in self.table.in_flight().values())
 
 
 def request(request_id: str) -> GatewayRequest:
-    """Return a request that may wait for long."""
+    """Return a request with a distant deadline."""
     now = time.time()
     return request_of(
         repeatable=True,
@@ -99,7 +99,7 @@
 
 
 async def settle() -> None:
-    """Let all tasks go on until each waits."""
+    """Run the event loop until all tasks are waiting."""
     for _ in range(STEPS_TO_SETTLE):
         await asyncio.sleep(0)
 
@@ -110,13 +110,13 @@
 
 
 @pytest.mark.parametrize("steps_later", [0, 1])
-async def test_a_place_freed_as_a_waiting_caller_leaves_goes_to_the_next(
+async def test_slot_freed_as_a_waiting_caller_leaves_goes_to_the_next(
     local: Local, steps_later: int
 ) -> None:
-    """A caller leaves in the moment in which another request ends and frees its place.
+    """A caller disconnects at the moment in which another request ends and frees its slot.
 
-    The place went to the one that had left: the request that ended failed instead of being
-    answered, and the place stayed taken for good.
+    If the slot goes to the caller that has left, the request that ended fails instead of being
+    answered, and the slot is never released.
     """
     first = await local.start("first")
     leaves = await local.start("leaves")
@@ -136,12 +136,12 @@
     assert local.requests_on_server == 0
 
 
-async def test_the_sweep_goes_on_beside_a_caller_that_leaves(local: Local) -> None:
-    """The sweep of the queues ended with an error, and nothing was refused in time any more."""
+async def test_sweep_continues_after_a_caller_leaves(local: Local) -> None:
+    """An error would end the sweep, and expired requests would no longer be refused in time."""
     holds = await local.start("holds")
     leaves = await local.start("leaves")
     leaves.cancel()
-    local.places = 2
+    local.slots = 2
     local.dispatch.sweep()
     await settle()
 
@@ -150,11 +150,11 @@
     holds.cancel()
 
 
-async def test_a_repeat_waits_on_where_the_first_run_is_cancelled(local: Local) -> None:
-    """A forward is lost and comes again before its first run here has ended.
+async def test_repeat_keeps_waiting_after_the_first_run_is_cancelled(local: Local) -> None:
+    """A forward is lost and sent again before its first run here has ended.
 
-    Both waited under one id. The first took the other out of the queue with itself, and nobody
-    placed or refused that one any more: its caller waited for minutes past every target.
+    If both runs wait under one id, the first one removes the other from the queue when it is
+    cancelled. The other is then neither placed nor refused, and its caller waits for minutes.
     """
     other = await local.start("other")
     first, repeat = await local.start("same"), await local.start("same")
@@ -171,9 +171,9 @@
     assert local.requests_on_server == 0
 
 
-async def test_each_run_of_a_request_holds_a_place_of_its_own(local: Local) -> None:
-    """A place still taken counted as free once another run of the same request had ended."""
-    local.places = 2
+async def test_each_run_of_a_request_holds_its_own_slot(local: Local) -> None:
+    """The end of one run must not release the slot of another run of the same request."""
+    local.slots = 2
     first, repeat = await local.start("same"), await local.start("same")
     assert local.requests_on_server == 2
 
@@ -186,11 +186,11 @@
     assert local.requests_on_server == 0
 
 
-async def test_request_that_every_server_has_failed_is_tried_there_again(local: Local) -> None:
-    """The only server of a pool refuses a request, and its caller hears nothing for minutes.
+async def test_request_failed_by_every_server_is_retried_there(local: Local) -> None:
+    """The only server of a pool refuses a request, and its caller gets no answer for minutes.
 
-    Left out of the next attempt, the server left nobody to wait for: the request stayed in the
-    queue until its deadline, also once the server took work again.
+    If the server is excluded from the next attempt, no usable server is left: the request stays in
+    the queue until its deadline, even after the server accepts work again.
     """
     task = await local.start("once more", frozenset({SERVER.name}))
     assert len(local.engine.ends) == 1
@@ -199,7 +199,7 @@
     assert task.result().is_finished
 
 
-async def test_server_that_failed_a_request_is_left_out_while_another_is_there(
+async def test_server_that_failed_a_request_is_excluded_while_another_is_usable(
     local: Local,
 ) -> None:
     local.table.set_servers([SERVER, evolve(SERVER, name="engine-2")])
--- a/tests/test_dispatch_sweep.py
+++ b/tests/test_dispatch_sweep.py
@@ -1,4 +1,4 @@
-"""Waiting work that can no longer finish is refused at once, and told when to come back."""
+"""Waiting work that can no longer finish in time is refused at once with a retry time."""
 
 import asyncio
 import time
@@ -32,7 +32,7 @@
 
 
 def request(rank: Rank, deadline_ahead_s: float) -> GatewayRequest:
-    """Return a request with so many seconds left."""
+    """Return a request with the given seconds until its deadline."""
     now = time.time()
     work = Work(
         request_id=f"waits-{rank.value}",
@@ -60,7 +60,7 @@
 
 @pytest.fixture
 def local() -> LocalDispatch:
-    """Return a dispatch without servers whose pool holds slots for two seconds."""
+    """Return a dispatch without servers whose requests hold a slot for two seconds."""
     local = LocalDispatch(
         table=LoadTable("tallinn"), run_attempt=never_run, observe=lambda event: None
     )
@@ -70,7 +70,7 @@
 
 
 async def waiting(local: LocalDispatch, waits: GatewayRequest) -> "asyncio.Task[Placement]":
-    """Return a task that waits for a place."""
+    """Return a task that waits for placement, after one sweep."""
     task = asyncio.create_task(local._wait_for_placement(waits.work, frozenset()))
     await asyncio.sleep(0)
     local.sweep()
@@ -78,24 +78,24 @@
     return task
 
 
-async def test_trial_work_too_late_to_finish_is_told_when_to_come_back(
+async def test_trial_work_too_late_to_finish_gets_a_retry_time(
     local: LocalDispatch,
 ) -> None:
-    # Its caller would else get half an answer, cut off at the deadline, or none with no advice.
+    # Otherwise its caller would get an answer cut off at the deadline, or none and no retry time.
     task = await waiting(local, request(Rank.TRIAL, HOLD_S / 2.0))
     with pytest.raises(RefusedError) as raised:
         task.result()
     refusal = raised.value.refusal
     assert (refusal.kind, refusal.run) == (Kind.DEADLINE_PASSED, Run.NO)
     assert refusal.retry_at_unix_s is not None
-    # Without servers nothing drains; the wait that follows from that would be days.
+    # Without servers nothing drains, and a wait computed from that rate would be days.
     assert 0.0 < refusal.retry_at_unix_s - time.time() < 60.0
 
 
 @pytest.mark.parametrize(
     ("rank", "deadline_ahead_s"), [(Rank.PAYING, HOLD_S / 2.0), (Rank.TRIAL, HOLD_S * 2.0)]
 )
-async def test_other_work_goes_on_waiting(
+async def test_other_work_keeps_waiting(
     local: LocalDispatch, rank: Rank, deadline_ahead_s: float
 ) -> None:
     task = await waiting(local, request(rank, deadline_ahead_s))
--- a/tests/test_dispatch_traces.py
+++ b/tests/test_dispatch_traces.py
@@ -23,7 +23,7 @@
         address, body = fleet.direct("tallinn-1"), chat_body("contract-reader")
         parent = f"00-{TRACE_ID}-{PARENT_ID}-01"
 
-        # A forward that is tried again adds a span, so that the number alone doesn't tell the end.
+        # A retried forward adds a span, so the number of spans alone does not show completion.
         async def is_traced() -> bool:
             seen = spans(fleet)
             return len(seen) >= len(HOPS) and any(each["parent_id"] == PARENT_ID for each in seen)
--- a/tests/test_dispatch_verdicts.py
+++ b/tests/test_dispatch_verdicts.py
@@ -21,9 +21,9 @@
 from pomelobarrow.dispatch.dispatcher import Dispatcher
 from pomelobarrow.dispatch.refusals import RefusedError, refuse
 
-NO_ROOM = refuse(Kind.OVERLOADED, Run.NO, "the queue is full")
-# A peer's own word; its refusal says what its state says.
-PEER_REFUSALS = {AttemptState.REFUSED_UNRUN: NO_ROOM}
+QUEUE_FULL = refuse(Kind.OVERLOADED, Run.NO, "the queue is full")
+# A peer's refusal states the same as the state of its attempt.
+PEER_REFUSALS = {AttemptState.REFUSED_UNRUN: QUEUE_FULL}
 STATES = st.sampled_from(
     [
         AttemptState.NOT_SENT,
@@ -32,13 +32,13 @@
         AttemptState.FINISHED,
     ]
 )
-# What each attempt comes to: no room before it begins, or a state with or without a head passed.
+# The end of each attempt: refused before it begins, or a state with or without the head sent.
 ENDS = st.one_of(st.none(), st.tuples(STATES, st.booleans()))
 
 
 @define
 class Sink:
-    """Count how an answer ends."""
+    """Count the answers that break off."""
 
     broken_off: int = 0
 
@@ -48,7 +48,7 @@
 
 @define
 class Attempts:
-    """End attempts as a test says, here and at a peer, and keep what they came to."""
+    """End local and forwarded attempts as a test specifies, and record their states."""
 
     ends: list[tuple[AttemptState, bool] | None]
     table: LoadTable = field(factory=lambda: LoadTable("r"))
@@ -64,7 +64,7 @@
     async def run(self, request: Any, attempt: Attempt, *rest: Any) -> AttemptResult:
         end = self.ends.pop(0) if self.ends else None
         if end is None:
-            raise RefusedError(NO_ROOM)
+            raise RefusedError(QUEUE_FULL)
         self.request_ids.append(request.work.request_id)
         state, head_passed = end
         head_passed = head_passed and state not in UNRUN_STATES
@@ -74,7 +74,7 @@
 
 
 def dispatcher_of(attempts: Any) -> Dispatcher:
-    """Return a dispatcher whose attempts, here and at peers, end as a test says."""
+    """Return a dispatcher whose local and forwarded attempts end as a test specifies."""
     return Dispatcher(
         own_region="r",
         local=attempts,
@@ -96,10 +96,10 @@
 async def test_the_verdict_follows_from_all_attempts(
     ends: list[tuple[AttemptState, bool] | None], repeatable: bool
 ) -> None:
-    """Attempts end in any mixture: not sent, refused, unknown, broken off, whole.
+    """Attempts end in any mixture: not sent, refused, unknown, broken off, complete.
 
-    Work that may not be repeated is not tried again once it may have run, nothing is tried again
-    once a caller has seen a part of an answer, and "not run" needs every attempt to be certain.
+    Work that is not repeatable is not retried once it may have run. Nothing is retried once the
+    caller has received part of an answer. "Not run" requires that no attempt can have run.
     """
     attempts: Any = Attempts(list(ends))
     dispatcher = dispatcher_of(attempts)
@@ -118,7 +118,7 @@
     assert sink.broken_off <= 1
 
 
-async def test_work_that_nobody_waits_for_goes_on_to_its_end() -> None:
+async def test_detached_work_runs_to_its_end() -> None:
     may_end, ended = asyncio.Event(), asyncio.Event()
 
     async def work() -> str:
@@ -132,7 +132,7 @@
     assert await wait_or_detach(work(), 60.0, "none yet") == "word"
 
 
-async def test_headers_that_come_twice_are_passed_on_twice() -> None:
+async def test_repeated_headers_are_all_forwarded() -> None:
     async def handle(request: web.Request) -> web.StreamResponse:
         sink = HttpSink(request, "id")
         await sink.head(AnswerHead(200, (("Set-Cookie", "a=1"), ("Set-Cookie", "b=2"))))
@@ -157,13 +157,11 @@
     [(True, ["id", "id~2", "id~3"]), (False, ["id", "id", "id"])],
     ids=["engine", "service"],
 )
-async def test_each_attempt_on_an_engine_has_an_id_of_its_own(
-    is_chat: bool, expected: list[str]
-) -> None:
-    """A link breaks, the engine is told to cancel, and it refuses the repeat for good.
+async def test_each_attempt_on_an_engine_has_its_own_id(is_chat: bool, expected: list[str]) -> None:
+    """A link breaks, and the engine is asked to cancel the request.
 
-    It had promised that this id never runs. Sent again under it, the request came back at once from
-    each engine that had given its word, until the deadline.
+    The engine then refuses that id permanently, so that it never runs. If retries reuse the id,
+    every engine that has cancelled it refuses them at once until the deadline.
     """
     refused, finished = (AttemptState.REFUSED_UNRUN, False), (AttemptState.FINISHED, False)
     attempts: Any = Attempts([refused, refused, finished])
@@ -174,10 +172,10 @@
 
 
 async def test_attempts_at_both_ends_of_a_forward_never_share_an_id() -> None:
-    """The entry VM's second attempt is refused by an engine that never saw its first.
+    """An engine must not refuse the entry VM's second attempt if it never got the first one.
 
-    The VM that ran the first forward had made a second attempt of its own, under the same id, and
-    had it cancelled.
+    That happens if the VM that ran the first forward makes a second attempt under the same id and
+    cancels it.
     """
     failed = (AttemptState.NOT_SENT, False)
     request_ids = {}
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""What a client gets of a relayed request, and what the servers see of it."""
+"""What clients and servers receive of relayed requests and answers."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
     Script,
     answers,
     event,
-    holds,
+    hangs,
     refuses,
     resets,
     streams,
@@ -29,7 +29,7 @@
 UNRESUMABLE = route(RouteKind.STREAM, max_attempts=2)
 
 
-async def test_request_reaches_the_server_as_it_came() -> None:
+async def test_request_reaches_the_server_unchanged() -> None:
     async with relay_fleet((ONCE,), {"a": {"s1": answers()}}) as fleet:
         target = "/non_idempotent/x%2Fy/../z?q=%7e&&"
         headers = {"X-Own": "kept", "Pomelobarrow-Hold": "mine", "Kv-From": "10.0.0.1:1/x"}
@@ -55,11 +55,11 @@
     assert answer.headers["Pomelobarrow-Response-Seal"] == SEAL
 
 
-async def test_half_an_event_is_not_passed_on() -> None:
-    """The client reads a stream; its server stops in the middle of the third event.
+async def test_incomplete_event_is_not_forwarded() -> None:
+    """The server of a stream stops in the middle of the third event.
 
-    The half was joined with the first event of the server that took over, and the client read one
-    event made of two.
+    If the incomplete event is forwarded, the client reads it and the first event of the next server
+    as one event.
     """
     script = _breaks_off_once(streams(4, breaks_after=2, half=b"id: 3\ndata: pie"), streams(4))
     async with relay_fleet((RESUMABLE,), {"a": {"s1": script, "s2": script}}) as fleet:
@@ -77,10 +77,11 @@
     return script
 
 
-async def test_stream_that_may_not_be_resumed_breaks_off_visibly() -> None:
-    """The client reads a stream whose server breaks off; nobody may go on with it.
+async def test_unresumable_stream_breaks_off_visibly() -> None:
+    """The server of a stream that may not be resumed breaks off.
 
-    Ended like a whole one, it would look complete. The connection closes without the end mark.
+    If the stream were ended regularly, it would look complete. The connection is closed without the
+    last chunk instead.
     """
     async with relay_fleet((UNRESUMABLE,), {"a": {"s1": streams(4, breaks_after=2)}}) as fleet:
         with pytest.raises(aiohttp.ClientPayloadError):
@@ -97,10 +98,10 @@
 
 
 async def test_request_that_may_have_run_is_not_sent_again() -> None:
-    """The client asks for what may run once; the server drops the connection without a word.
+    """The server drops the connection of a request that may run only once, without an answer.
 
-    It may have run. Sent again it could run twice, and called "not run" the client would send it
-    again itself. The answer promises nothing.
+    The request may have run. A retry could run it twice, and after an answer "not run" the client
+    would send it again. The answer leaves the outcome open.
     """
     async with relay_fleet((ONCE,), {"a": {"s1": resets(), "s2": resets()}}) as fleet:
         answer = await ask(fleet.vms["a"], "/non_idempotent/")
@@ -109,14 +110,14 @@
     assert "Retry-After" not in answer.headers
 
 
-async def test_servers_own_failure_goes_to_the_client() -> None:
+async def test_failed_answer_of_the_server_goes_to_the_client() -> None:
     async with relay_fleet((ONCE,), {"a": {"s1": answers(500, b"why")}}) as fleet:
         answer = await ask(fleet.vms["a"], "/non_idempotent/")
     assert (answer.status, answer.body) == (500, b"why")
     assert answer.headers["Pomelobarrow-Response-Seal"] == SEAL
 
 
-async def test_refused_request_is_refused_with_a_time_to_come_back() -> None:
+async def test_refusal_states_a_retry_time() -> None:
     async with relay_fleet((ONCE,), {"a": {"s1": refuses()}}) as fleet:
         answer = await ask(fleet.vms["a"], "/non_idempotent/")
     assert answer.status == 503
@@ -124,11 +125,11 @@
     assert "Pomelobarrow-Response-Seal" not in answer.headers
 
 
-async def test_failure_after_a_refusal_is_not_called_unrun() -> None:
-    """One server loses the request after it may have run, the next one refuses it unrun.
+async def test_refusal_after_a_lost_attempt_is_not_reported_as_unrun() -> None:
+    """One server loses the request after it may have run, and the next one refuses it unrun.
 
-    Answered with 503, the client would take the last word for all attempts and send again what has
-    run.
+    After a 503, the client would take the last refusal for all attempts and send a request again
+    that may have run.
     """
     script = _breaks_off_once(resets(), refuses())
     async with relay_fleet((IDEMPOTENT,), {"a": {"s1": script, "s2": script}}) as fleet:
@@ -136,10 +137,10 @@
     assert answer.status == 502
 
 
-async def test_body_without_length_that_was_reset_is_not_whole() -> None:
+async def test_body_without_length_that_was_reset_is_incomplete() -> None:
     """The server sends a body without a length and resets the connection halfway.
 
-    Such a body ends with its connection, so the half would pass for the whole.
+    Such a body ends with its connection, so the first half could be taken for the complete body.
     """
 
     async def script(exchange: Exchange) -> None:
@@ -154,7 +155,7 @@
     assert answer.status == 502
 
 
-async def test_body_without_length_is_whole_at_its_connections_end() -> None:
+async def test_body_without_length_is_complete_at_the_end_of_its_connection() -> None:
     async def script(exchange: Exchange) -> None:
         exchange.write_head(200)
         exchange.writer.write(b"all of it")
@@ -165,7 +166,7 @@
 
 
 async def test_answer_to_another_request_is_not_used() -> None:
-    """A faulty server sends the answer to some other request first."""
+    """A faulty server sends the answer to another request first."""
 
     async def script(exchange: Exchange) -> None:
         exchange.received.headers["pomelobarrow-request-id"] = "another"
@@ -176,12 +177,12 @@
     assert (answer.status, b"not yours" in answer.body) == (502, False)
 
 
-async def test_client_that_leaves_ends_the_servers_work() -> None:
-    """The client closes its connection while a server works for it.
+async def test_disconnect_of_the_client_ends_the_servers_work() -> None:
+    """The client closes its connection while a server runs its request.
 
-    The server would go on for nobody. Its connection closes at once.
+    The connection to the server is closed at once, so that it does not finish an unwanted answer.
     """
-    async with relay_fleet((ONCE,), {"a": {"s1": holds()}}) as fleet:
+    async with relay_fleet((ONCE,), {"a": {"s1": hangs()}}) as fleet:
         asking = asyncio.create_task(ask(fleet.vms["a"], "/non_idempotent/"))
         server = fleet.servers["s1"]
         while not server.received:
@@ -193,15 +194,15 @@
     assert outcomes == ["client gone"]
 
 
-async def test_time_that_is_up_ends_with_an_answer_that_promises_nothing() -> None:
+async def test_deadline_ends_with_an_unknown_outcome() -> None:
     quick = route(RouteKind.NON_IDEMPOTENT, timeout_s=0.2)
-    async with relay_fleet((quick,), {"a": {"s1": holds()}}) as fleet:
+    async with relay_fleet((quick,), {"a": {"s1": hangs()}}) as fleet:
         answer = await ask(fleet.vms["a"], "/non_idempotent/")
     assert answer.status == 504
 
 
-async def test_second_attempts_stay_within_the_bound() -> None:
-    """All of a pool's answers are failures; the bound on repeats allows none."""
+async def test_retries_stay_within_the_budget() -> None:
+    """All answers of a pool are failures, and the retry budget allows no retry."""
     nothing = RetryBound(ratio=0.0, slack=0.0, window_s=10.0)
     failing = {"s1": answers(500), "s2": answers(500)}
     async with relay_fleet((IDEMPOTENT,), {"a": failing}, nothing) as fleet:
@@ -210,13 +211,14 @@
     assert (answer.status, arrivals) == (500, 1)
 
 
-async def test_silent_server_is_waited_for_where_no_repeat_is_left() -> None:
-    """Several clients wait for one server that is silent for a while; one repeat is allowed.
+async def test_silent_server_is_awaited_when_no_retry_is_left() -> None:
+    """Several clients wait for one server that is silent for a while; one retry is allowed.
 
-    Each is sent while the repeat is still free. When their patience ends one takes it; the others,
-    given up as well, failed with nobody left to try, though the server answers them all.
+    Each request is sent while that retry is still available. When the time limit passes, one of
+    them takes it. If the others are given up as well, they fail without another server to try,
+    although the silent server answers all of them later.
     """
-    slow = _answers_when_asked_again()
+    slow = _answers_after_fifth_request()
     one = RetryBound(ratio=0.0, slack=1.5 / SAFETY_SHARE, window_s=60.0)
     servers = {"a": {"s1": slow, "s2": slow}}
     async with relay_fleet((IDEMPOTENT,), servers, one) as fleet:
@@ -227,8 +229,8 @@
     assert arrivals == 5
 
 
-def _answers_when_asked_again() -> Script:
-    """Hold every answer back until a fifth request has come, and some more."""
+def _answers_after_fifth_request() -> Script:
+    """Delay every answer until a fifth request has arrived and the time limit has passed again."""
     arrivals, fifth = 0, asyncio.Event()
 
     async def script(exchange: Exchange) -> None:
@@ -250,9 +252,9 @@
 
 
 async def test_failure_after_a_stream_began_is_not_written_into_it() -> None:
-    """The client has two events of a stream; its server breaks off, the next one answers 500.
+    """A server breaks off after two events of a stream, and the next one answers 500.
 
-    Passed on as an answer of its own, the 500 would stand in the middle of the stream's body. The
+    If the 500 were sent as an answer, it would appear in the middle of the stream's body. The
     stream is broken off instead.
     """
     script = _breaks_off_once(streams(4, breaks_after=2), answers(500, b"why"))
@@ -261,8 +263,8 @@
             await ask(fleet.vms["a"], "/stream/")
 
 
-async def test_client_that_waits_no_longer_gets_no_server_to_work() -> None:
-    """The client says that it has no time left; the route allows seconds."""
+async def test_request_without_time_left_reaches_no_server() -> None:
+    """The client states that it has no time left; the route allows seconds."""
     async with relay_fleet((ONCE,), {"a": {"s1": answers()}}) as fleet:
         headers = {"Pomelobarrow-Request-Deadline": "0"}
         answer = await ask(fleet.vms["a"], "/non_idempotent/", headers=headers)
@@ -270,12 +272,12 @@
     assert (answer.status, arrivals) == (503, 0)
 
 
-async def test_stopping_vm_takes_late_only_what_it_can_finish() -> None:
-    """An entry VM stops; clients that learned of it before still come, some of them late.
+async def test_stopping_vm_accepts_late_only_what_it_can_finish() -> None:
+    """An entry VM stops while clients that looked it up before still connect, some of them late.
 
-    A long prompt taken late was queued at its server and still ran when the process was ended: its
-    answer was cut off in the middle. It is refused unrun, so that another VM gives it whole; short
-    work, and whatever comes early, is served.
+    A long request accepted late may wait at its server and still run when the process ends, which
+    truncates its answer. It is refused unrun, so that another VM can answer it completely. Short
+    requests and early ones are served.
     """
     brief = route(RouteKind.IDEMPOTENT, timeout_s=0.5)
     async with relay_fleet((ONCE, brief), {"a": {"s1": answers()}}) as fleet:
@@ -291,11 +293,11 @@
     assert 0.0 < float(late.headers["Retry-After"]) < 1.0
 
 
-async def test_request_that_comes_while_the_lists_are_read_is_answered() -> None:
-    """All VMs start again after a loss of power, and clients come at once.
+async def test_request_during_startup_is_answered() -> None:
+    """All VMs restart after a power loss, and clients connect immediately.
 
-    A VM listens before it has read the configuration and the list of servers. Refused, its clients
-    would come back late; the lists are there a few milliseconds on.
+    A VM listens before it has read the configuration and the list of servers. Refused clients would
+    come back late, although both arrive within a few milliseconds.
     """
     async with relay_fleet((IDEMPOTENT,), {"a": {"s1": answers()}}) as fleet:
         front, reads = fleet.vms["a"].front, iter([False, False, False])
@@ -304,7 +306,7 @@
         assert (await ask(fleet.vms["a"], "/idempotent/x")).status == 200
 
 
-async def test_vm_whose_lists_do_not_come_refuses() -> None:
+async def test_vm_without_routing_refuses() -> None:
     async with relay_fleet((IDEMPOTENT,), {"a": {"s1": answers()}}) as fleet:
         fleet.vms["a"].front.routing = lambda: None
         refused = await ask(fleet.vms["a"], "/idempotent/x")
--- a/tests/test_relay_crashing_request.py
+++ b/tests/test_relay_crashing_request.py
@@ -1,4 +1,4 @@
-"""A relayed request that ends the servers that run it, and what is lost beside it."""
+"""A relayed request that crashes the servers that run it, and its effect on other requests."""
 
 import asyncio
 from collections.abc import Mapping
@@ -6,7 +6,7 @@
 import aiohttp
 import pytest
 from relay_harness import Answer, RelayFleet, RelayVm, ask, relay_fleet, route
-from scripted_server import Script, answers, ends_on, holds, streams
+from scripted_server import Script, answers, crashes_on, hangs, streams
 
 from pomelobarrow.decision.routing import RouteKind
 
@@ -19,7 +19,7 @@
 
 
 def _servers(count: int, region: str = "a") -> Mapping[str, Script]:
-    return {f"{region}{number}": ends_on(CRASHING, answers()) for number in range(count)}
+    return {f"{region}{number}": crashes_on(CRASHING, answers()) for number in range(count)}
 
 
 async def _send_crashing(vm: RelayVm, path: str, times: int) -> list[Answer | None]:
@@ -41,15 +41,15 @@
 
 
 @pytest.mark.parametrize("path", ["/idempotent/x", "/non_idempotent/x", "/stream/x"])
-async def test_crashing_request_that_comes_again_ends_no_fourth_server(path: str) -> None:
-    """Repeated under new ids, it ended one server after another."""
+async def test_repeated_crashing_request_ends_at_most_three_servers(path: str) -> None:
+    """Repeated under new ids, such a request could crash one server after another."""
     async with relay_fleet(ROUTES, {"a": _servers(8)}) as fleet:
         await _send_crashing(fleet.vms["a"], path, times=6)
         assert _ended(fleet) <= 3
 
 
 async def test_crashing_request_gets_a_final_answer_at_once() -> None:
-    """A 503 with a time to come back, or a 502, asked the caller to send it again."""
+    """A 503 with a retry time, or a 502, would ask the caller to send the request again."""
     async with relay_fleet(ROUTES, {"a": _servers(8)}) as fleet:
         got = await _send_crashing(fleet.vms["a"], "/non_idempotent/x", times=4)
     last = got[-1]
@@ -58,28 +58,28 @@
     assert b'"crashes_servers"' in last.body
 
 
-async def test_requests_beside_a_crashing_one_are_served() -> None:
+async def test_other_requests_are_served_despite_a_crashing_one() -> None:
     async with relay_fleet(ROUTES, {"a": _servers(8)}) as fleet:
         await _send_crashing(fleet.vms["a"], "/idempotent/x", times=6)
         others = [await ask(fleet.vms["a"], f"/idempotent/{number}") for number in range(4)]
     assert [answer.status for answer in others] == [200] * 4
 
 
-async def test_crashing_request_in_other_regions_is_known_to_the_vm_that_passed_it_on() -> None:
-    """The VM that clients ask has no server of its own; each peer sees only its region's ends."""
+async def test_crashes_in_other_regions_reach_the_forwarding_vm() -> None:
+    """The entry VM has no server of its own, and each peer sees only the crashes of its region."""
     regions = {"b": _servers(3, "b"), "c": _servers(3, "c"), "d": _servers(3, "d")}
     async with relay_fleet(ROUTES, {"a": {}, **regions}) as fleet:
         await _send_crashing(fleet.vms["a"], "/idempotent/x", times=8)
         assert _ended(fleet) <= 3
 
 
-async def test_servers_that_end_by_themselves_block_no_request_that_others_answer() -> None:
-    """Three servers of a rack ended at once; each ran the same status check of one caller."""
+async def test_crashes_unrelated_to_a_request_do_not_block_it() -> None:
+    """Three servers of a rack fail together while each runs the same status check of one caller."""
     async with relay_fleet(ROUTES, {"a": {f"a{n}": answers() for n in range(3)}}) as fleet:
         vm = fleet.vms["a"]
         assert (await ask(vm, "/idempotent/check", data=b"same")).status == 200
         for server in fleet.servers.values():
-            server.script = holds()
+            server.script = hangs()
         asking = [
             asyncio.create_task(ask(vm, "/idempotent/check", data=b"same", headers=_headers(n)))
             for n in range(3)
@@ -93,8 +93,8 @@
     assert placed_again.status == 503
 
 
-async def test_request_under_which_streams_broke_off_is_not_blamed_while_the_server_lives() -> None:
-    """A faulty server breaks streams off and goes on; nothing ended under them."""
+async def test_broken_streams_of_a_running_server_do_not_block_a_request() -> None:
+    """A faulty server that breaks off streams but keeps running is not evidence of a crash."""
     broken = {f"a{number}": streams(4, breaks_after=1) for number in range(6)}
     async with relay_fleet(ROUTES, {"a": broken}) as fleet:
         await _send_crashing(fleet.vms["a"], "/stream/x", times=4)
--- a/tests/test_relay_directory.py
+++ b/tests/test_relay_directory.py
@@ -1,4 +1,4 @@
-"""Clients are named VMs that may serve them, the nearest first."""
+"""The directory names VMs that may serve a client, the nearest first."""
 
 import pytest
 from attrs import evolve
@@ -14,13 +14,13 @@
 from pomelobarrow.relay.wire import DirectoryQuery
 
 BOUND = route(RouteKind.IDEMPOTENT, home_regions=("a", "b"), pools=(PoolShare(pool=POOL),))
-FREE = route(RouteKind.IDEMPOTENT)
+UNBOUND = route(RouteKind.IDEMPOTENT)
 
 
 def directory(
     phases: dict[str, Phase], *routes: object, observed: list[object] | None = None
 ) -> RelayDirectory:
-    """Return the directory of region c's VM, with a VM in each region named."""
+    """Return the directory of the VM in region c, with one VM in each region of `phases`."""
     view = MembershipView("vm-c", "c")
     own = evolve(view.own, caller_address="vm-c:1", phase=phases["c"].value)
     view.observe_own(own)
@@ -43,16 +43,16 @@
     )
 
 
-def named(by: RelayDirectory, region: str) -> list[str]:
+def named(relay_directory: RelayDirectory, region: str) -> list[str]:
     query = DirectoryQuery(host=HOST, region=region, failure_domain=f"{region}-1")
-    return [member.vm for member in by._members(query, now_unix_s())]
+    return [member.vm for member in relay_directory._members(query, now_unix_s())]
 
 
-def test_bound_request_is_not_led_out_of_its_homes_while_they_are_replaced() -> None:
-    """All VMs of the client's region and of its homes are told to stop within seconds.
+def test_bound_request_stays_in_its_home_regions_during_replacement() -> None:
+    """All VMs of the client's region and of its home regions are stopped within seconds.
 
-    They still serve late clients. Another region's VM, named instead, can only refuse what is
-    bound to the homes, and gets its body.
+    They still serve late clients. If a VM of another region is named instead, it receives the body
+    of a request that is bound to the home regions, and can only refuse it.
     """
     stopping = {"a": Phase.LEAVING, "b": Phase.LEAVING, "c": Phase.READY}
     assert named(directory(stopping, BOUND), "a") == ["vm-a"]
@@ -60,44 +60,45 @@
     assert named(directory({**stopping, "a": Phase.LEFT}, BOUND), "a") == ["vm-b"]
 
 
-def test_client_without_any_vm_near_or_at_home_is_led_to_the_rest() -> None:
-    # The host may have routes that are bound to no region.
+def test_client_without_vms_in_its_own_or_home_regions_gets_the_others() -> None:
+    # The host may also have routes that are not bound to a region.
     gone = {"a": Phase.LEFT, "b": Phase.LEFT, "c": Phase.READY}
-    assert named(directory(gone, BOUND, FREE), "a") == ["vm-c"]
+    assert named(directory(gone, BOUND, UNBOUND), "a") == ["vm-c"]
 
 
-def test_free_request_goes_to_any_region_that_serves() -> None:
+def test_unbound_request_goes_to_any_serving_region() -> None:
     stopping = {"a": Phase.LEAVING, "b": Phase.LEAVING, "c": Phase.READY}
-    assert named(directory(stopping, FREE), "a") == ["vm-c"]
+    assert named(directory(stopping, UNBOUND), "a") == ["vm-c"]
 
 
-def test_change_of_the_vms_named_is_reported_once_with_their_age() -> None:
-    # On call one has to see since when callers were led to a VM, and how old what was known of it
-    # was; a line for each answer would be thousands an hour.
+def test_change_of_the_named_vms_is_reported_once_with_their_age() -> None:
+    # The log shows since when callers were directed to a VM and how recently that VM was seen. One
+    # line per answer would be thousands an hour.
     observed: list[object] = []
-    held = directory({"a": Phase.READY, "c": Phase.READY}, FREE, observed=observed)
+    relay_directory = directory({"a": Phase.READY, "c": Phase.READY}, UNBOUND, observed=observed)
     query = DirectoryQuery(host=HOST, region="a", failure_domain="a-1")
     now = now_unix_s()
-    held._log.note(query, held._members(query, now), now + 2.0)
-    held._log.note(query, held._members(query, now), now + 3.0)
+    relay_directory._log.note(query, relay_directory._members(query, now), now + 2.0)
+    relay_directory._log.note(query, relay_directory._members(query, now), now + 3.0)
     assert [type(event) for event in observed] == [DirectoryChanged]
     [change] = observed
     assert isinstance(change, DirectoryChanged)
     assert change.named == {"vm-a": pytest.approx(2.0, abs=0.1)}
     assert change.left_out == {}
-    held.view.observe_leave("vm-a", 1, "", now)
-    held._log.note(query, held._members(query, now), now + 4.0)
+    relay_directory.view.observe_leave("vm-a", 1, "", now)
+    relay_directory._log.note(query, relay_directory._members(query, now), now + 4.0)
     assert isinstance(observed[1], DirectoryChanged)
     assert observed[1].named == {"vm-c": 0.0}
     assert observed[1].left_out == {"vm-a": pytest.approx(4.0, abs=0.1)}
 
 
-def test_bound_request_is_led_to_a_home_that_is_only_heard_of() -> None:
-    # Home's VMs were heard of seven seconds ago, as a VM that isn't a relay hears of them. Led to
-    # this region instead, the request would leave its homes with its body and be refused.
-    held = directory({"c": Phase.READY}, BOUND)
+def test_bound_request_goes_to_a_home_known_only_through_peers() -> None:
+    # The home region's VM was last seen seven seconds ago, through a summary from a peer. If the
+    # client were directed to this region instead, the body of the request would leave its home
+    # regions and the request would be refused.
+    relay_directory = directory({"c": Phase.READY}, BOUND)
     now = now_unix_s()
-    told = Member(vm="vm-b", incarnation=1, region="b", heard_unix_s=now - 7.0)
-    held.view.observe_summary(told, now)
-    assert named(held, "a") == ["vm-b"]
-    assert named(held, "c") == ["vm-c"]
+    summary = Member(vm="vm-b", incarnation=1, region="b", heard_unix_s=now - 7.0)
+    relay_directory.view.observe_summary(summary, now)
+    assert named(relay_directory, "a") == ["vm-b"]
+    assert named(relay_directory, "c") == ["vm-c"]
--- a/tests/test_relay_health_monitor.py
+++ b/tests/test_relay_health_monitor.py
@@ -1,4 +1,4 @@
-"""Servers that fail or dawdle are left out, and what they do is told once."""
+"""Failing and slow servers are ejected, and each ejection or readmission is reported once."""
 
 import pytest
 from relay_harness import POOL
@@ -38,47 +38,47 @@
     return AttemptReport(end=AttemptEnd.ANSWERED, answer=answer)
 
 
-def test_ejected_server_is_back_with_its_first_answer_after_the_ejection(
+def test_ejected_server_is_readmitted_with_its_first_answer_after_the_ejection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A server loses requests and is left out; one that was under way is still answered.
+    """A server is ejected for lost requests, and a request in flight is still answered.
 
-    Told as its return, that answer was followed by a second ejection that never was.
+    If that answer is reported as a readmission, a second ejection is reported that never happened.
     """
     clock = [now_unix_s()]
     monkeypatch.setattr(health_monitor, "now_unix_s", lambda: clock[0])
-    by, table, events = monitor()
+    health, table, events = monitor()
     for _ in range(3):
-        by.monitor(S1, LOST, 0.1, clock[0])
-    by.monitor(S1, PASSED_ON, 0.1, clock[0])
+        health.monitor(S1, LOST, 0.1, clock[0])
+    health.monitor(S1, PASSED_ON, 0.1, clock[0])
     ejected = ServerEjected(server="s1", pool=POOL, detail="closed")
     assert (table.is_ejected("s1", clock[0]), events) == (True, [ejected])
     clock[0] += FIRST_EJECTION_S
-    by.monitor(S1, PASSED_ON, 0.1, clock[0])
+    health.monitor(S1, PASSED_ON, 0.1, clock[0])
     assert events == [ejected, ServerReadmitted(server="s1", pool=POOL)]
 
 
-def test_refusals_say_nothing_against_a_server() -> None:
-    by, table, events = monitor()
+def test_refusals_do_not_count_against_a_server() -> None:
+    health, table, events = monitor()
     for _ in range(20):
-        by.monitor(S1, AttemptReport(end=AttemptEnd.REFUSED), 0.1, now_unix_s())
+        health.monitor(S1, AttemptReport(end=AttemptEnd.REFUSED), 0.1, now_unix_s())
     assert (table.is_ejected("s1", now_unix_s()), events) == (False, [])
 
 
 def test_server_that_fails_between_successes_is_ejected() -> None:
-    """Half of a server's answers are failures, in turn with successes; the other server is well.
+    """Every second answer of a server is a failure, while the other server is healthy.
 
-    Never two failures in a row, so that only the comparison with the other finds it.
+    There are never two failures in a row, so only the comparison with the other server detects it.
     """
-    by, table, events = monitor()
+    health, table, events = monitor()
     for number in range(40):
-        by.monitor(S2, answered(200), 0.1, now_unix_s())
-        by.monitor(S1, answered(500 if number % 2 else 200), 0.1, now_unix_s())
+        health.monitor(S2, answered(200), 0.1, now_unix_s())
+        health.monitor(S1, answered(500 if number % 2 else 200), 0.1, now_unix_s())
     assert [type(event) for event in events][:1] == [ServerEjected]
     assert not table.is_ejected("s2", now_unix_s())
 
 
-def test_patience_follows_what_a_route_takes() -> None:
+def test_time_limit_follows_the_first_answer_times_of_a_route() -> None:
     first = FirstAnswerTimes()
     assert first.time_limit_s("r", 0.0) == MIN_TIME_LIMIT_S
     for _ in range(200):
@@ -86,11 +86,11 @@
     assert first.time_limit_s("r", 0.0) == 2.0
 
 
-def test_patience_lasts_over_a_known_queue() -> None:
+def test_time_limit_covers_a_known_queue() -> None:
     """A request is sent to a server with a queue of 1.3 s; the route usually answers in 0.1 s.
 
-    Given up after 0.4 s, before its turn can have come, its place in the queue is lost, and the
-    next server's queue grows by a request that has waited already.
+    If it is given up after 0.4 s, before it can have started, it loses its position in the queue
+    and lengthens the queue of the next server, although it has waited already.
     """
     first, expected_s = FirstAnswerTimes(), 1.3
     first.observe("r", 0.1)
--- a/tests/test_relay_peers.py
+++ b/tests/test_relay_peers.py
@@ -1,4 +1,4 @@
-"""What a client gets of a request that goes through a peer."""
+"""What a client receives of a request that is forwarded to a peer."""
 
 from typing import Any
 
@@ -11,10 +11,10 @@
 
 
 async def test_peer_adds_no_attempts_of_its_own() -> None:
-    """The client's route allows two servers and is bound to another region.
+    """The route allows two attempts and is bound to two other regions, where all servers fail.
 
-    Both servers there fail. The entry VM sends to a peer, which fails over by itself; then the
-    entry VM, which knows of one attempt, tries again: three or four servers get the request.
+    If the peer that gets the request retried by itself, the entry VM would count one attempt and
+    retry as well, so that three or four servers would get the request.
     """
     bound = route(RouteKind.IDEMPOTENT, max_attempts=2, home_regions=("b", "c"))
     failing = {region: {f"{region}{n}": answers(500) for n in (1, 2)} for region in ("b", "c")}
@@ -25,11 +25,11 @@
 
 
 async def test_peer_without_a_server_uses_up_no_attempt() -> None:
-    """The route allows one server and is bound to two regions; the client asks a third.
+    """The route allows one attempt and is bound to two regions; the client connects to a third.
 
-    The region that it is sent to has lost its servers, which this VM hasn't heard yet. Its peer
-    refuses at once. Counted as the one attempt, the client was refused while the other region's
-    server was free.
+    One of the two regions has lost its servers, and the entry VM has not received that update. The
+    peer there refuses at once. If this counted as the only attempt, the client would be refused
+    although the server of the other region is free.
     """
     bound = route(RouteKind.NON_IDEMPOTENT, home_regions=("b", "c"))
     servers = {"a": {}, "b": {}, "c": {"s1": answers()}}
@@ -39,11 +39,11 @@
     assert [answer.status for answer in answers_got] == [200] * 8
 
 
-async def test_prompt_turned_back_by_a_coordinator_runs_at_the_groups_second_server() -> None:
-    """Each VM coordinates its region's one server; a long prompt's group may use either.
+async def test_prompt_refused_by_a_coordinator_runs_on_the_groups_second_server() -> None:
+    """Each VM coordinates the one server of its region; a long prompt's group may use either.
 
-    One of them has more before it than it can read in time. Asked for it, its coordinator turns
-    the prompt back unsent, and the group's other server runs it, once.
+    One server has more queued than it can prefill in time. Its coordinator refuses the prompt
+    unsent, and the other server of the group runs it once.
     """
     once = route(RouteKind.STREAM, first_answer_target_s=0.5, timeout_s=3.0)
     scripts = {"a": {"s1": streams(1)}, "b": {"s2": streams(1)}}
@@ -62,10 +62,10 @@
 
 
 async def test_stream_resumed_over_a_peer_repeats_no_event() -> None:
-    """The client reads a stream that a server of another region runs.
+    """A stream that runs in another region breaks off after its second event.
 
-    That server breaks off after the second event. The entry VM asks a peer again; without the
-    event to go on after, the second server starts at the first and events come twice.
+    The entry VM sends the request to a peer again. Without the id of the last event, the second
+    server starts at the first event, and the client receives events twice.
     """
     bound = route(RouteKind.STREAM, max_attempts=2, is_resumable=True, home_regions=("b", "c"))
     broken = {
@@ -80,7 +80,7 @@
 
 
 def _first_breaks_off(servers: Any) -> Script:
-    """Break off the first stream of all servers; later ones are whole."""
+    """Break off the first stream over all servers and complete the later ones."""
 
     async def script(exchange: Exchange) -> None:
         is_first = sum(len(server.received) for server in servers) == 1
--- a/tests/test_relay_placement.py
+++ b/tests/test_relay_placement.py
@@ -1,4 +1,4 @@
-"""Where a relayed request goes: to a server here, to a peer elsewhere, or nowhere."""
+"""Placement of a relayed request: on a local server, on a peer, or not at all."""
 
 import pytest
 from attrs import evolve
@@ -47,8 +47,8 @@
     return BackendServer(**{**fields, **more})  # type: ignore[arg-type]
 
 
-def placer(*servers: BackendServer, waits_s: dict[str, float] | None = None) -> Placer:
-    """Return what places for region a, with peers in b and c as far as their waits are given."""
+def make_placer(*servers: BackendServer, waits_s: dict[str, float] | None = None) -> Placer:
+    """Return a placer for region a with a peer in each region of `waits_s`, by default b and c."""
     waits_s = {"b": 0.0, "c": 0.0} if waits_s is None else waits_s
     view = MembershipView("vm-a", "a")
     for region in waits_s:
@@ -104,223 +104,227 @@
     return RelayRequest(**{**fields, **more})  # type: ignore[arg-type]
 
 
-def place(by: Placer, what: RelayRequest) -> OnServer | OnPeer | Nowhere:
-    return by.place(what.for_placement, ROUTING, Excluded(), NOW)
+def place(placer: Placer, relayed: RelayRequest) -> OnServer | OnPeer | Nowhere:
+    return placer.place(relayed.for_placement, ROUTING, Excluded(), NOW)
 
 
-def load(by: Placer, name: str, tokens: int) -> None:
-    """Put prompts before a server whose speed is known: a second for 100,000 tokens."""
-    times = by.table.service_times(POOL)
+def load(placer: Placer, name: str, tokens: int) -> None:
+    """Queue prompt tokens at a server that prefills 100,000 tokens per second."""
+    times = placer.table.service_times(POOL)
     for _ in range(300):
         times.observe_start(100_000, 1.0)
-    by.table.charge("earlier", name, tokens, NOW)
+    placer.table.charge("earlier", name, tokens, NOW)
 
 
 def test_free_server_here_is_taken() -> None:
-    decision = place(placer(server("s1", "a"), server("s2", "b")), request())
+    decision = place(make_placer(server("s1", "a"), server("s2", "b")), request())
     assert isinstance(decision, OnServer)
     assert decision.placement.server.name == "s1"
 
 
-def test_late_region_is_left_for_an_earlier_one() -> None:
-    by = placer(server("s1", "a"), waits_s={"b": 0.0})
-    load(by, "s1", 60_000)
-    decision = place(by, request())
+def test_late_region_yields_to_a_faster_one() -> None:
+    placer = make_placer(server("s1", "a"), waits_s={"b": 0.0})
+    load(placer, "s1", 60_000)
+    decision = place(placer, request())
     assert isinstance(decision, OnPeer)
     assert (decision.member.vm, decision.reason) == ("vm-b", HERE_IS_LATE)
 
 
 def test_late_region_is_kept_while_the_others_are_later() -> None:
-    by = placer(server("s1", "a"), waits_s={"b": 5.0})
-    load(by, "s1", 60_000)
-    assert isinstance(place(by, request()), OnServer)
+    placer = make_placer(server("s1", "a"), waits_s={"b": 5.0})
+    load(placer, "s1", 60_000)
+    assert isinstance(place(placer, request()), OnServer)
 
 
 def test_work_bound_to_other_regions_goes_there() -> None:
     bound = evolve(STREAM, home_regions=("c",))
-    decision = place(placer(server("s1", "a")), request(bound))
+    decision = place(make_placer(server("s1", "a")), request(bound))
     assert isinstance(decision, OnPeer)
     assert (decision.member.vm, decision.reason) == ("vm-c", HOME_ELSEWHERE)
 
 
 def test_work_bound_to_an_unreachable_region_is_refused_and_runs_nowhere_else() -> None:
     bound = evolve(STREAM, home_regions=("c",))
-    decision = place(placer(server("s1", "a"), waits_s={"b": 0.0}), request(bound))
+    decision = place(make_placer(server("s1", "a"), waits_s={"b": 0.0}), request(bound))
     assert decision == Nowhere(reason=NOTHING_HERE)
 
 
 def test_forwarded_request_is_never_passed_on() -> None:
-    """Two VMs each believe that the other region is earlier."""
-    by = placer(server("s1", "a"), waits_s={"b": 0.0})
-    load(by, "s1", 60_000)
-    assert isinstance(place(by, request(forwarded_by="vm-b")), OnServer)
-    assert place(placer(), request(forwarded_by="vm-b")) == Nowhere(reason=NOTHING_HERE)
+    """Two VMs each expect an earlier answer from the other region."""
+    placer = make_placer(server("s1", "a"), waits_s={"b": 0.0})
+    load(placer, "s1", 60_000)
+    assert isinstance(place(placer, request(forwarded_by="vm-b")), OnServer)
+    assert place(make_placer(), request(forwarded_by="vm-b")) == Nowhere(reason=NOTHING_HERE)
 
 
 def test_long_shared_prompt_goes_to_the_region_that_keeps_it_warm() -> None:
-    by = placer(server("s1", "b"), server("s2", "b"))
-    decision = place(by, request(shared=13_312))
+    placer = make_placer(server("s1", "b"), server("s2", "b"))
+    decision = place(placer, request(shared=13_312))
     assert isinstance(decision, OnPeer)
     assert (decision.member.vm, decision.reason) == ("vm-b", WARM_ELSEWHERE)
 
 
 def test_prompt_that_is_warm_here_stays() -> None:
-    by = placer(server("s0", "a"), server("s1", "b"), server("s2", "b"), server("s3", "b"))
-    what = request(shared=13_312)
-    by.table.prefixes.observe_placement("s0", what.work.prefix_hashes)
-    assert isinstance(place(by, what), OnServer)
+    placer = make_placer(server("s0", "a"), server("s1", "b"), server("s2", "b"), server("s3", "b"))
+    relayed = request(shared=13_312)
+    placer.table.prefixes.observe_placement("s0", relayed.work.prefix_hashes)
+    assert isinstance(place(placer, relayed), OnServer)
 
 
 def test_warm_prompt_is_not_read_elsewhere_to_gain_little() -> None:
-    """A long prompt is warm here, where a queue makes this region late.
+    """A long prompt is cached in this region, where a queue makes it late.
 
-    Another region, where it would be read anew, is sooner by less than the reading. Sent there, it
-    would hold up what comes next and take room that the first copy has already. With a longer
-    queue the gain is worth it.
+    Another region, which would have to prefill it again, is faster by less than that prefill takes.
+    There it would delay other requests and take cache memory for a second copy. Only a longer queue
+    makes the move worth it.
     """
-    what = request(shared=13_312)
+    relayed = request(shared=13_312)
     taken = []
     for queue_tokens in (38_000, 60_000):
-        by = placer(server("s1", "a"), waits_s={"b": 0.0})
-        by.table.prefixes.observe_placement("s1", what.work.prefix_hashes)
-        load(by, "s1", queue_tokens)
-        taken.append(type(place(by, what)))
+        placer = make_placer(server("s1", "a"), waits_s={"b": 0.0})
+        placer.table.prefixes.observe_placement("s1", relayed.work.prefix_hashes)
+        load(placer, "s1", queue_tokens)
+        taken.append(type(place(placer, relayed)))
     assert taken == [OnServer, OnPeer]
 
 
-def test_owner_that_is_behind_is_not_waited_for() -> None:
-    by = placer(server("s0", "a"), server("s1", "b"), server("s2", "b"), waits_s={"b": 0.9})
-    assert isinstance(place(by, request(shared=13_312)), OnServer)
+def test_late_owner_is_not_awaited() -> None:
+    placer = make_placer(
+        server("s0", "a"), server("s1", "b"), server("s2", "b"), waits_s={"b": 0.9}
+    )
+    assert isinstance(place(placer, request(shared=13_312)), OnServer)
 
 
 @pytest.mark.parametrize("own_tokens", [300, 4_000])
-def test_stream_is_refused_where_every_server_is_behind(own_tokens: int) -> None:
-    """Engines have more prompts before them than they can read within the target.
+def test_stream_is_refused_when_every_server_is_late(own_tokens: int) -> None:
+    """Engines have more prompts queued than they can prefill within the target time.
 
-    Sent on, all would be answered late, and callers would leave what is silent for seconds while
-    their prompts are still read. Refused at once, they come back when the engines are further on.
+    If all were sent, all would be answered late, and callers would give up silent requests while
+    their prompts are still being processed. Refused callers return when the queues are shorter.
     """
-    by = placer(server("s1", "a"), waits_s={"b": 3.0})
-    load(by, "s1", 250_000)
-    refused = place(by, request(evolve(STREAM, silence_patience_s=3.2), own=own_tokens))
+    placer = make_placer(server("s1", "a"), waits_s={"b": 3.0})
+    load(placer, "s1", 250_000)
+    refused = place(placer, request(evolve(STREAM, silence_patience_s=3.2), own=own_tokens))
     assert isinstance(refused, Nowhere)
     assert (refused.reason, refused.wait_s > 2.0) == (ALL_BEHIND, True)
 
 
-def test_whole_answer_goes_also_where_every_server_is_behind() -> None:
-    by = placer(server("s1", "a"), waits_s={"b": 3.0})
-    load(by, "s1", 250_000)
-    assert isinstance(place(by, request(route(RouteKind.IDEMPOTENT), own=0)), OnServer)
+def test_unstreamed_request_is_placed_when_every_server_is_late() -> None:
+    placer = make_placer(server("s1", "a"), waits_s={"b": 3.0})
+    load(placer, "s1", 250_000)
+    assert isinstance(place(placer, request(route(RouteKind.IDEMPOTENT), own=0)), OnServer)
 
 
-def test_caller_that_comes_back_is_taken_while_it_would_wait() -> None:
-    """A caller that was refused is late already, and doesn't come a third time."""
-    by = placer(server("s1", "a"), waits_s={"b": 3.0})
-    load(by, "s1", 250_000)
-    patient = evolve(STREAM, silence_patience_s=4.0)
-    back = request(patient)
-    left_s = patient.timeout_s / 2.0
-    back = evolve(back, work=evolve(back.work, deadline_unix_s=NOW + left_s))
-    assert isinstance(place(by, back), OnServer)
-    load(by, "s1", 350_000)
-    assert isinstance(place(by, back), Nowhere)
+def test_returning_caller_is_accepted_within_its_time_limit() -> None:
+    """A caller that was refused once is late already and does not try a third time."""
+    placer = make_placer(server("s1", "a"), waits_s={"b": 3.0})
+    load(placer, "s1", 250_000)
+    tolerant = evolve(STREAM, silence_patience_s=4.0)
+    returning = request(tolerant)
+    left_s = tolerant.timeout_s / 2.0
+    returning = evolve(returning, work=evolve(returning.work, deadline_unix_s=NOW + left_s))
+    assert isinstance(place(placer, returning), OnServer)
+    load(placer, "s1", 350_000)
+    assert isinstance(place(placer, returning), Nowhere)
 
 
-def test_long_prompt_leaves_the_streams_of_its_region_alone() -> None:
-    """One region's engines run dozens of streams and read a good deal; another's run few.
+def test_long_prompt_does_not_disturb_the_streams_of_its_region() -> None:
+    """The engines of one region run dozens of streams with a high prefill load; another has few.
 
-    Read here, a long prompt would hold up all those streams beyond their pauses, although its own
-    first answer is early. The trip costs a fraction of a second of its own answer.
+    A long prompt placed here would delay all those streams beyond their gap target, although its
+    own first answer would be early. Sending it away costs it a fraction of a second.
     """
-    by = placer(server("s1", "a", slots=128), waits_s={"b": 0.0})
-    load(by, "s1", 10_000)
+    placer = make_placer(server("s1", "a", slots=128), waits_s={"b": 0.0})
+    load(placer, "s1", 10_000)
     for number in range(60):
-        by.table.charge(f"stream-{number}", "s1", 700, NOW)
-    what = request(own=9_000)
-    what = evolve(what, work=evolve(what.work, gap_target_s=0.4))
-    moved = place(by, what)
+        placer.table.charge(f"stream-{number}", "s1", 700, NOW)
+    relayed = request(own=9_000)
+    relayed = evolve(relayed, work=evolve(relayed.work, gap_target_s=0.4))
+    moved = place(placer, relayed)
     assert isinstance(moved, OnPeer)
     assert (moved.member.vm, moved.reason) == ("vm-b", HERE_IS_LATE)
-    without_streams = placer(server("s1", "a", slots=128), waits_s={"b": 0.0})
+    without_streams = make_placer(server("s1", "a", slots=128), waits_s={"b": 0.0})
     load(without_streams, "s1", 1)
-    assert isinstance(place(without_streams, what), OnServer)
+    assert isinstance(place(without_streams, relayed), OnServer)
 
 
 def test_group_that_was_sent_elsewhere_counts_as_warm_there() -> None:
-    by = placer(server("s0", "a"), waits_s={"b": 0.5, "c": 0.0})
-    by._remote.sent_groups.note("ab", "b", NOW)
-    load(by, "s0", 90_000)
-    decision = place(by, request(shared=13_312))
+    placer = make_placer(server("s0", "a"), waits_s={"b": 0.5, "c": 0.0})
+    placer._remote.sent_groups.note("ab", "b", NOW)
+    load(placer, "s0", 90_000)
+    decision = place(placer, request(shared=13_312))
     assert isinstance(decision, OnPeer)
     assert (decision.member.vm, decision.reason) == ("vm-b", WARM_ELSEWHERE)
 
 
 def test_cold_server_gets_few_requests() -> None:
-    by = placer(server("s1", "a", cold_until_unix_s=NOW + 3.0), waits_s={})
-    first = place(by, request())
+    placer = make_placer(server("s1", "a", cold_until_unix_s=NOW + 3.0), waits_s={})
+    first = place(placer, request())
     assert isinstance(first, OnServer)
-    by.note_placed(first.placement.server, NOW)
-    assert place(by, request()) == Nowhere(reason=NOTHING_HERE)
+    placer.note_placed(first.placement.server, NOW)
+    assert place(placer, request()) == Nowhere(reason=NOTHING_HERE)
 
 
 def test_closed_domain_gets_nothing() -> None:
-    by = placer(server("s1", "a"), waits_s={})
-    by.table.closed_domains = frozenset({"a-1"})
-    assert place(by, request()) == Nowhere(reason=NOTHING_HERE)
+    placer = make_placer(server("s1", "a"), waits_s={})
+    placer.table.closed_domains = frozenset({"a-1"})
+    assert place(placer, request()) == Nowhere(reason=NOTHING_HERE)
 
 
-def test_lapsed_server_goes_last() -> None:
-    by = placer(server("s1", "a", is_lapsed=True), server("s2", "a"), waits_s={})
+def test_server_with_an_expired_lease_goes_last() -> None:
+    placer = make_placer(server("s1", "a", is_lapsed=True), server("s2", "a"), waits_s={})
     names = set()
     for _ in range(20):
-        decision = place(by, request())
+        decision = place(placer, request())
         assert isinstance(decision, OnServer)
         names.add(decision.placement.server.name)
     assert names == {"s2"}
-    assert isinstance(place(placer(server("s1", "a", is_lapsed=True)), request()), OnServer)
+    assert isinstance(place(make_placer(server("s1", "a", is_lapsed=True)), request()), OnServer)
 
 
 def test_free_server_of_the_own_failure_domain_goes_first() -> None:
     far = server("s2", "a", failure_domain="a-2")
     chosen = set()
     for _ in range(20):
-        decision = place(placer(server("s1", "a"), far), request())
+        decision = place(make_placer(server("s1", "a"), far), request())
         assert isinstance(decision, OnServer)
         chosen.add(decision.placement.server.name)
     assert chosen == {"s1"}
 
 
-def test_busy_server_of_the_own_failure_domain_is_passed_over() -> None:
-    by = placer(server("s1", "a"), server("s2", "a", failure_domain="a-2"), waits_s={})
-    load(by, "s1", 50_000)
-    decision = place(by, request())
+def test_busy_server_of_the_own_failure_domain_is_skipped() -> None:
+    placer = make_placer(server("s1", "a"), server("s2", "a", failure_domain="a-2"), waits_s={})
+    load(placer, "s1", 50_000)
+    decision = place(placer, request())
     assert isinstance(decision, OnServer)
     assert decision.placement.server.name == "s2"
 
 
-def test_peer_that_takes_no_connection_is_passed_over() -> None:
-    """A region is cut off, or its VM says that it is ready and takes no connection.
+def test_unreachable_peer_is_skipped() -> None:
+    """A region is cut off, or its VM reports itself as ready but accepts no connection.
 
-    Until its silence counts, seconds later, every request for it waits for a connection in vain.
-    After the first one, those that follow go elsewhere; after the pause it is tried again.
+    Until it is detected as silent, seconds later, every request for it would wait for a connection
+    in vain. After the first failure requests go elsewhere; after the backoff it is tried again.
     """
     bound = route(RouteKind.IDEMPOTENT, home_regions=("b", "c"))
-    by = placer(waits_s={"b": 0.0, "c": 0.0})
-    by.members.note_unreached("vm-b", NOW)
-    targets = {place(by, request(bound)).member.vm for _ in range(20)}  # type: ignore[union-attr]
+    placer = make_placer(waits_s={"b": 0.0, "c": 0.0})
+    placer.members.note_unreached("vm-b", NOW)
+    targets = {place(placer, request(bound)).member.vm for _ in range(20)}  # type: ignore[union-attr]
     assert targets == {"vm-c"}
-    by.members.note_unreached("vm-c", NOW)
-    assert place(by, request(bound)) == Nowhere(reason=NOTHING_HERE)
-    later = by.place(request(bound).for_placement, ROUTING, Excluded(), NOW + FIRST_PAUSE_S + 0.01)
+    placer.members.note_unreached("vm-c", NOW)
+    assert place(placer, request(bound)) == Nowhere(reason=NOTHING_HERE)
+    later = placer.place(
+        request(bound).for_placement, ROUTING, Excluded(), NOW + FIRST_PAUSE_S + 0.01
+    )
     assert isinstance(later, OnPeer)
 
 
-def test_peer_beside_the_groups_server_gets_its_prompts() -> None:
-    by = placer(server("s1", "b", failure_domain="b-2"), waits_s={"b": 0.0})
-    beside = Member(vm="vm-b2", incarnation=1, region="b", failure_domain="b-2", sequence=1)
-    by.members.view.observe_heartbeat(beside, NOW)
+def test_peer_in_the_failure_domain_of_the_groups_server_gets_its_prompts() -> None:
+    placer = make_placer(server("s1", "b", failure_domain="b-2"), waits_s={"b": 0.0})
+    neighbour = Member(vm="vm-b2", incarnation=1, region="b", failure_domain="b-2", sequence=1)
+    placer.members.view.observe_heartbeat(neighbour, NOW)
     for _ in range(10):
-        decision = place(by, request(shared=13_312))
+        decision = place(placer, request(shared=13_312))
         assert isinstance(decision, OnPeer)
         assert decision.member.vm == "vm-b2"
 
@@ -328,62 +332,62 @@
 def test_prompt_goes_to_the_vm_that_coordinates_its_groups_server() -> None:
     """Five VMs of a region get long prompts of one group.
 
-    Were each to place its own, all would send them to the engine that seemed free when they last
-    heard of each other. They agree on one VM instead, which keeps the prompts that come to itself.
+    If each placed its own, all would choose the engine that appeared free in their last updates.
+    They agree on one VM instead, which places all of these prompts, its own included.
     """
     chosen = set()
     for own in range(5):
-        by = placer(server("s1", "a"), waits_s={})
-        by.members.view.own_vm = f"vm-{own}"
-        by.members.view.observe_own(Member(vm=f"vm-{own}", region="a"))
+        placer = make_placer(server("s1", "a"), waits_s={})
+        placer.members.view.own_vm = f"vm-{own}"
+        placer.members.view.observe_own(Member(vm=f"vm-{own}", region="a"))
         for other in set(range(5)) - {own}:
             member = Member(vm=f"vm-{other}", incarnation=1, region="a", sequence=1)
-            by.members.view.observe_heartbeat(member, NOW)
-        decision = place(by, request(shared=13_312))
+            placer.members.view.observe_heartbeat(member, NOW)
+        decision = place(placer, request(shared=13_312))
         is_here = isinstance(decision, OnServer)
         chosen.add(f"vm-{own}" if is_here else decision.member.vm)  # type: ignore[union-attr]
         assert is_here or decision.reason == COORDINATED  # type: ignore[union-attr]
     assert len(chosen) == 1
 
 
-def test_prompt_turned_back_goes_to_the_groups_second_server() -> None:
-    by = placer(server("s1", "b"), server("s2", "c"))
+def test_refused_prompt_goes_to_the_groups_second_server() -> None:
+    placer = make_placer(server("s1", "b"), server("s2", "c"))
     asked = []
     excluded = Excluded()
     for _ in range(2):
-        decision = by.place(request(shared=13_312).for_placement, ROUTING, excluded, NOW)
+        decision = placer.place(request(shared=13_312).for_placement, ROUTING, excluded, NOW)
         assert isinstance(decision, OnPeer)
         asked.append((decision.server, decision.member.vm))
         excluded.servers.add(decision.server)
     assert sorted(asked) == [("s1", "vm-b"), ("s2", "vm-c")]
 
 
-def test_coordinator_out_of_reach_is_replaced() -> None:
-    by = placer(server("s1", "b"), waits_s={"b": 0.0})
+def test_unreachable_coordinator_is_replaced() -> None:
+    placer = make_placer(server("s1", "b"), waits_s={"b": 0.0})
     other = Member(vm="vm-b2", incarnation=1, region="b", sequence=1)
-    by.members.view.observe_heartbeat(other, NOW)
-    first = place(by, request(shared=13_312))
+    placer.members.view.observe_heartbeat(other, NOW)
+    first = place(placer, request(shared=13_312))
     assert isinstance(first, OnPeer)
     excluded = Excluded(peers={first.member.vm})
-    second = by.place(request(shared=13_312).for_placement, ROUTING, excluded, NOW)
+    second = placer.place(request(shared=13_312).for_placement, ROUTING, excluded, NOW)
     assert isinstance(second, OnPeer)
     assert {first.member.vm, second.member.vm} == {"vm-b", "vm-b2"}
 
 
 def test_groups_that_share_their_first_part_are_kept_warm_in_different_regions() -> None:
-    """A few system prompts begin the prompts of a hundred groups, each with a text of its own.
+    """A few system prompts begin the prompts of a hundred groups, each with its own text.
 
-    Named by what they begin with, they would all be sent to the few owners of the system prompts.
+    If groups were identified by their first part, all would go to the few owners of these prompts.
     """
-    by = placer(*(server(f"s{number}", "bc"[number % 2]) for number in range(6)))
-    what, regions = request(shared=6_400), set()
+    placer = make_placer(*(server(f"s{number}", "bc"[number % 2]) for number in range(6)))
+    relayed, regions = request(shared=6_400), set()
     for number in range(20):
         parts = (
             PromptPart(id="system", tokens=2_560),
             PromptPart(id=f"text-{number}", tokens=3_840),
             PromptPart(id="own", tokens=300),
         )
-        decision = place(by, evolve(what, head=evolve(what.head, prompt_parts=parts)))
+        decision = place(placer, evolve(relayed, head=evolve(relayed.head, prompt_parts=parts)))
         assert isinstance(decision, OnPeer)
         regions.add(decision.member.region)
     assert regions == {"b", "c"}
