--- a/src/pomelobarrow/dispatch/claims.py
+++ b/src/pomelobarrow/dispatch/claims.py
@@ -30,7 +30,7 @@
 REMEDY_REPEAT = "repeat it under the same Idempotency-Key at the time in Retry-After"
 STILL_RUNNING_PAUSE_S = 1.0
 
-ClaimAnswer = Callable[[Claim, GatewayRequest, AnswerSink], Coroutine[Any, Any, Refusal | None]]
+ClaimHandler = Callable[[Claim, GatewayRequest, AnswerSink], Coroutine[Any, Any, Refusal | None]]
 
 
 @define(kw_only=True)
@@ -94,7 +94,7 @@
         claim = self.ledger.claim(work.request_id, work.account, now_unix_s())
         return await self._handlers()[claim.kind](claim, request, sink)
 
-    def _handlers(self) -> dict[ClaimKind, ClaimAnswer]:
+    def _handlers(self) -> dict[ClaimKind, ClaimHandler]:
         return {
             ClaimKind.FRESH: self._run_fresh,
             ClaimKind.RUNNING: self._refuse_still_running,
--- a/src/pomelobarrow/dispatch/crash_guard.py
+++ b/src/pomelobarrow/dispatch/crash_guard.py
@@ -18,7 +18,7 @@
 
 @frozen(kw_only=True)
 class RequestBlocked:
-    """Report that a request was refused because servers ended under it, with the evidence."""
+    """Report that a request was refused because it crashes servers, with the evidence."""
 
     request_id: str
     pool: str
@@ -78,18 +78,18 @@
         self._notify(self.suspects.answered(fingerprint, now_unix_s()))
 
     async def note_closed(self, server: BackendServer, fingerprint: int) -> None:
-        """Check whether a server that closed a connection has ended, and return with the result.
+        """Check whether a server that closed a connection has crashed; return once that is known.
 
         The decision on another attempt then takes this crash into account.
         """
         await self.watch.note_closed(server, fingerprint)
 
     def has_ended(self, server: BackendServer, fingerprint: int) -> bool:
-        """Return whether a server is known to have ended under a request."""
+        """Return whether a server is known to have crashed while it ran a request."""
         return self.suspects.has_crash(fingerprint, server_key(server))
 
     def note_crash(self, fingerprint: int, server_key: int) -> None:
-        """Record that a server has just ended under a request."""
+        """Record that a server has just crashed while it ran a request."""
         crash = Crash(fingerprint=fingerprint, server_key=server_key, ended_unix_s=now_unix_s())
         self._notify(self.suspects.note(crash))
 
--- a/src/pomelobarrow/dispatch/dispatcher.py
+++ b/src/pomelobarrow/dispatch/dispatcher.py
@@ -201,7 +201,7 @@
         if (
             work.home_bound
             and set(history.states) == {AttemptState.NOT_SENT}
-            and _is_home_lost(result)
+            and _is_home_unreachable(result)
         ):
             return result.refusal
         verdict = retry_verdict(
@@ -262,5 +262,5 @@
         return self.budgets.setdefault(work.class_name, RetryBudget())
 
 
-def _is_home_lost(result: AttemptResult) -> bool:
+def _is_home_unreachable(result: AttemptResult) -> bool:
     return result.refusal is not None and result.refusal.kind is Kind.HOME_UNREACHABLE
--- a/src/pomelobarrow/dispatch/entry.py
+++ b/src/pomelobarrow/dispatch/entry.py
@@ -42,7 +42,7 @@
         if isinstance(admitted, Err):
             return await self._over_limit(request, admitted.err_value, sink)
         try:
-            return await self._counted("entry", request, partial(self._dispatch, sink=sink))
+            return await self._run_counted("entry", request, partial(self._dispatch, sink=sink))
         finally:
             release = partial(self.limits.release, account.name)
             self.claims.call_after_run(request.work.request_id, release)
@@ -56,14 +56,14 @@
 
     async def dispatch_forwarded(self, request: GatewayRequest, sink: AnswerSink) -> Refusal | None:
         """Dispatch a forwarded request; its entry VM has counted it against the account."""
-        return await self._counted("forwarded", request, partial(self._dispatch, sink=sink))
+        return await self._run_counted("forwarded", request, partial(self._dispatch, sink=sink))
 
     async def resume_forwarded(
         self, request: GatewayRequest, server: str, from_event: int, sink: AnswerSink
     ) -> Refusal | None:
         """Fetch the rest of a stream for a peer without running the request."""
         fetch = partial(self.resumed.fetch, server_name=server, from_event=from_event, sink=sink)
-        return await self._counted("resumed", request, fetch)
+        return await self._run_counted("resumed", request, fetch)
 
     async def wait_until_idle(self) -> None:
         """Return once nothing is in progress on this VM."""
@@ -72,16 +72,16 @@
             await self._idle.wait()
         await self.claims.wait_until_idle()
 
-    async def _counted(self, hop: str, request: GatewayRequest, run: Runner) -> Refusal | None:
+    async def _run_counted(self, hop: str, request: GatewayRequest, run: Runner) -> Refusal | None:
         self.in_progress += 1
         try:
-            return await self._traced(hop, request, run)
+            return await self._run_traced(hop, request, run)
         finally:
             self.in_progress -= 1
             if not self.in_progress:
                 self._idle.set()
 
-    async def _traced(self, hop: str, request: GatewayRequest, run: Runner) -> Refusal | None:
+    async def _run_traced(self, hop: str, request: GatewayRequest, run: Runner) -> Refusal | None:
         work = request.work
         with self.traces.span(
             hop, request.traceparent, request_id=work.request_id, class_name=work.class_name
--- a/src/pomelobarrow/dispatch/local.py
+++ b/src/pomelobarrow/dispatch/local.py
@@ -121,7 +121,7 @@
     async def _record_server_end(
         self, request: GatewayRequest, placement: Placement, result: AttemptResult
     ) -> None:
-        """Record whether a server ended under a request or answered it."""
+        """Record whether a server crashed while it ran a request or answered it."""
         if result.is_finished:
             self.guard.note_answered(request.fingerprint)
         # After the deadline there is no retry, so the caller must not wait for the crash check.
--- a/src/pomelobarrow/relay/directory.py
+++ b/src/pomelobarrow/relay/directory.py
@@ -12,8 +12,8 @@
 from pomelobarrow.relay.directory_log import DirectoryLog
 from pomelobarrow.relay.wire import DirectoryQuery, RelayWire
 
-# Some clients keep an answer three times as long as this. A short time lets them drop a VM that has
-# gone soon.
+# Some clients keep an answer three times as long as this. With a short validity they stop using a
+# VM soon after it has gone.
 ANSWER_VALID_S = 1.0
 MAX_ADDRESSES = 16
 # With fewer VMs in the client's failure domain, the answer lists those of its whole region.
--- a/src/pomelobarrow/relay/health_monitor.py
+++ b/src/pomelobarrow/relay/health_monitor.py
@@ -14,8 +14,8 @@
 
 # Shorter times to the first answer depend more on the network than on the server.
 SLOWNESS_BASE_S = 0.1
-# A server that has not begun to answer within this multiple of the route's recent mean time, and
-# within the minimum, is taken to hang or to have lost the request or its answer.
+# A server that has not begun to answer after this multiple of the route's recent mean time, and not
+# before the minimum, is taken to hang or to have lost the request or its answer.
 TIME_LIMIT_FACTOR = 4.0
 MIN_TIME_LIMIT_S = 0.3
 # A queue that was known when the request was sent may take this many times as long as expected.
--- a/src/pomelobarrow/relay/hop.py
+++ b/src/pomelobarrow/relay/hop.py
@@ -17,10 +17,10 @@
 # attempt, a peer without a free server would use up the route's attempts while other regions have
 # free servers.
 UNSENT = "unsent"
-# Sent by a peer that refuses the request because servers crashed while they ran such requests.
+# Sent by a peer that refuses a request because servers crashed while they ran such requests.
 BLOCKED = "blocked"
-# Names the server that ended under the request. The VM that forwarded it learns of the crash before
-# any crash update arrives, and tries no other region.
+# Names the server that crashed while it ran the request. The forwarding VM gets this before any
+# crash update arrives, and tries no other region.
 ENDED_HEADER = "Pomelobarrow-Peer-Server-Ended"
 # Allows for two round trips between the farthest regions and one lost packet.
 CONNECT_TIMEOUT_S = 0.6
@@ -40,7 +40,7 @@
 def refusal_headers(
     refusal: Refusal, was_sent: bool, ended_server_key: int | None = None
 ) -> Headers:
-    """Return the headers that state whether a forwarded request ran and which server it ended."""
+    """Return the headers that state whether a forwarded request ran and which server crashed."""
     run = refusal.run.value
     if refusal.run is Run.NO and not was_sent:
         run = BLOCKED if refusal.kind is Kind.CRASHES_SERVERS else UNSENT
--- a/src/pomelobarrow/relay/messages.py
+++ b/src/pomelobarrow/relay/messages.py
@@ -105,9 +105,9 @@
     is_not_run: bool = False
     # True if a peer states that it sent the request to no server.
     is_unsent: bool = False
-    # True if a peer refused the request unsent because servers ended under such requests.
+    # True if a peer refused the request unsent because such requests crash servers.
     is_blocked: bool = False
-    # The server that ended under the request at a peer, hashed as in crash updates.
+    # The server of a peer that crashed while it ran the request, hashed as in crash updates.
     ended_server_key: int | None = None
     # The requests that run and wait at the server; None if it reports none.
     counts: ServerCounts | None = None
@@ -139,7 +139,7 @@
     NOT_SENT = "not sent"
     # A peer refused it without sending it to a server.
     REFUSED_UNSENT = "turned back"
-    # A peer refused it unsent because servers ended under such requests.
+    # A peer refused it unsent because such requests crash servers.
     BLOCKED = "blocked"
     # The server stated that it did not run the request.
     REFUSED = "refused unrun"
--- a/src/pomelobarrow/relay/next_step.py
+++ b/src/pomelobarrow/relay/next_step.py
@@ -24,7 +24,7 @@
     REFUSE = "refuse"
     # Answer that the request may have run.
     FAIL = "fail"
-    # Refuse permanently because servers end under the request.
+    # Refuse permanently because the request crashes servers.
     BLOCK = "block"
     # Close a stream that has been sent in part, visibly incomplete.
     BREAK_OFF = "break off"
@@ -40,9 +40,9 @@
     attempts_left: int = field(init=False)
     # True if any server may have run the request.
     may_have_run: bool = False
-    # True if it was refused because servers end under it.
+    # True if it was refused because it crashes servers.
     is_blocked: bool = False
-    # The server of this region that ended under it last, hashed as in crash updates.
+    # The last server of this region that crashed under the request, hashed as in crash updates.
     ended_server_key: int | None = None
     # A server's failed answer, sent to the client if no later attempt does better.
     failure: WholeAnswer | None = None
--- a/src/pomelobarrow/relay/relay.py
+++ b/src/pomelobarrow/relay/relay.py
@@ -34,7 +34,8 @@
 from pomelobarrow.relay.relay_log import RelayLog
 from pomelobarrow.relay.wire import RelayWire, ServerCallOptions
 
-# A connect in a region takes one or two ms; a retransmission later, a server is taken to be gone.
+# Connecting inside a region takes one or two milliseconds. The limit allows for one retransmission;
+# after it, a server counts as unreachable.
 SERVER_CONNECT_TIMEOUT_S = 0.35
 RETRY_JITTER = 0.5
 LIMIT_CHECK_S = 0.01
@@ -120,7 +121,7 @@
             progress.longest_pause_s = max(progress.longest_pause_s, report.longest_pause_s)
             if report.end is AttemptEnd.PASSED_ON:
                 return Step.DONE
-            if should_retry(progress.history, report) and self._may_repeat(progress, report):
+            if should_retry(progress.history, report) and self._may_retry(progress, report):
                 continue
             # Once a stream has begun, a separate answer would be read as a part of its body.
             if report.end is AttemptEnd.ANSWERED and not progress.sink.is_started:
@@ -140,17 +141,17 @@
         await asyncio.sleep(max(LIMIT_CHECK_S, next_unix_s - now))
         return True
 
-    def _may_repeat(self, progress: RequestProgress, report: AttemptReport) -> bool:
+    def _may_retry(self, progress: RequestProgress, report: AttemptReport) -> bool:
         if report.end in UNSENT_ENDS:
             return True
         if progress.history.may_have_run and not self.guard.may_repeat(
             progress.request.fingerprint
         ):
             return False
-        was_reserved, progress.is_repeat_reserved = progress.is_repeat_reserved, False
-        return was_reserved or self._take_repeat(progress)
+        was_reserved, progress.is_retry_reserved = progress.is_retry_reserved, False
+        return was_reserved or self._take_retry(progress)
 
-    def _take_repeat(self, progress: RequestProgress) -> bool:
+    def _take_retry(self, progress: RequestProgress) -> bool:
         live_vms = len(self.placer.members.live)
         return self.retries.take_repeat(progress.request.work.pool, live_vms, now_unix_s())
 
@@ -260,8 +261,8 @@
             return None
 
         def take_repeat() -> bool:
-            progress.is_repeat_reserved = self._take_repeat(progress)
-            return progress.is_repeat_reserved
+            progress.is_retry_reserved = self._take_retry(progress)
+            return progress.is_retry_reserved
 
         time_limit_s = self.first_answer_times.time_limit_s(route.name, placement.expected_wait_s)
         return FirstAnswerTimeout(limit_s=time_limit_s, may_give_up=take_repeat)
