--- a/src/pomelobarrow/relay/attempt.py
+++ b/src/pomelobarrow/relay/attempt.py
@@ -131,8 +131,8 @@
             if fault := self._fault(head):
                 return self._lost(fault)
             if request.route.is_stream and head.status == STATUS_OK:
-                return await self._pass_events(response, head)
-            return await self._read_whole(response, head)
+                return await self._forward_events(response, head)
+            return await self._read_complete(response, head)
 
     def _fault(self, head: ServerAnswerHead) -> str:
         """Return why an answer can't belong to this request; empty if it can."""
@@ -145,7 +145,7 @@
             return "the successful answer carries no seal of the backend server"
         return ""
 
-    async def _read_whole(
+    async def _read_complete(
         self, response: aiohttp.ClientResponse, head: ServerAnswerHead
     ) -> AttemptReport:
         body = await response.read()
@@ -153,7 +153,7 @@
         self.state.apply(AttemptEvent.END)
         return self._report(AttemptEnd.ANSWERED, answer=WholeAnswer(head=head, body=body))
 
-    async def _pass_events(
+    async def _forward_events(
         self, response: aiohttp.ClientResponse, head: ServerAnswerHead
     ) -> AttemptReport:
         async for data in response.content.iter_any():
--- a/src/pomelobarrow/relay/health_monitor.py
+++ b/src/pomelobarrow/relay/health_monitor.py
@@ -90,8 +90,8 @@
 
     def time_limit_s(self, route: str, expected_wait_s: float) -> float:
         """Return the time within which a server should begin to answer."""
-        mean_s = max(MIN_TIME_LIMIT_S, TIME_LIMIT_FACTOR * self._mean_s.get(route, 0.0))
-        return mean_s + QUEUE_FACTOR * expected_wait_s
+        base_s = max(MIN_TIME_LIMIT_S, TIME_LIMIT_FACTOR * self._mean_s.get(route, 0.0))
+        return base_s + QUEUE_FACTOR * expected_wait_s
 
 
 def _has_failed(report: AttemptReport) -> bool:
