--- a/src/pomelobarrow/dispatch/advertised_limits.py
+++ b/src/pomelobarrow/dispatch/advertised_limits.py
@@ -17,5 +17,7 @@
 ) -> None:
     """Record a server's limit, None if its answer states none, and report a change."""
     # The server may have been replaced by another incarnation since the request was sent.
-    if table.is_current(server) and table.limits.observe(server.incarnation, per_s, now_unix_s()):
+    if table.is_current_incarnation(server) and table.limits.observe(
+        server.incarnation, per_s, now_unix_s()
+    ):
         observe(ServerLimitNamed(server=server.name, limit_per_s=per_s, header=header))
--- a/src/pomelobarrow/dispatch/dispatcher.py
+++ b/src/pomelobarrow/dispatch/dispatcher.py
@@ -6,8 +6,8 @@
 
 from attrs import define, evolve, field
 
-from pomelobarrow.decision.attempt import Attempt, AttemptState, may_try_again, run_verdict
-from pomelobarrow.decision.errors import Kind, Refusal, Run
+from pomelobarrow.decision.attempt import Attempt, AttemptState, may_retry, run_status
+from pomelobarrow.decision.errors import ErrorKind, Refusal, RunStatus
 from pomelobarrow.decision.region_choice import (
     RegionChoice,
     RegionLoad,
@@ -17,9 +17,9 @@
 )
 from pomelobarrow.decision.retries import (
     RetryBudget,
-    RetryVerdict,
+    RetryDecision,
+    decide_retry,
     retry_after_unix_s,
-    retry_verdict,
 )
 from pomelobarrow.decision.work import Work
 from pomelobarrow.dispatch.answers import AnswerSink, AttemptResult
@@ -36,7 +36,7 @@
 UNRUN_PAUSE_S = 0.02
 # After these decisions, repeatable work is retried with backoff until its deadline instead of being
 # refused. The backoff keeps such retries from amplifying an overload.
-BACKOFF_VERDICTS = frozenset({RetryVerdict.BUDGET, RetryVerdict.ATTEMPTS})
+BACKOFF_VERDICTS = frozenset({RetryDecision.BUDGET, RetryDecision.ATTEMPTS})
 
 
 @define(kw_only=True)
@@ -50,9 +50,9 @@
     last_refusal: Refusal | None = None
 
     @property
-    def run(self) -> Run:
+    def run(self) -> RunStatus:
         """Return whether any attempt may have run."""
-        return run_verdict(self.states)
+        return run_status(self.states)
 
     def observe(self, region: str, result: AttemptResult) -> None:
         """Record an attempt and the targets to exclude from the next one."""
@@ -62,7 +62,7 @@
             self.excluded_peers.add(result.peer)
             # A VM that stops says nothing about its region. If the region were excluded, home-bound
             # work would be refused although another VM there accepts it.
-            if result.refusal is None or result.refusal.kind is not Kind.DRAINING:
+            if result.refusal is None or result.refusal.kind is not ErrorKind.DRAINING:
                 self.excluded_regions.add(region)
         elif result.server:
             self.excluded_servers.add(result.server)
@@ -149,12 +149,16 @@
         if request.forwarded_by is not None:
             if work.home_bound and work.home_region != self.own_region:
                 raise RefusedError(
-                    refuse(Kind.HOME_UNREACHABLE, Run.NO, "this VM is outside the home region")
+                    refuse(
+                        ErrorKind.HOME_UNREACHABLE,
+                        RunStatus.NO,
+                        "this VM is outside the home region",
+                    )
                 )
             return self.own_region
         choice = self.choose(work, history.excluded_regions)
         if choice.region is None and self._is_home_load_unknown(work, history):
-            choice = RegionChoice(region=work.home_region, reason=RegionReason.HOME_IS_FIRST)
+            choice = RegionChoice(region=work.home_region, reason=RegionReason.HOME_IS_FASTEST)
         if choice.region is None:
             raise RefusedError(self._no_region_refusal(work, choice))
         if not history.states:
@@ -178,21 +182,21 @@
     def _no_region_refusal(self, work: Work, choice: RegionChoice) -> Refusal:
         now = now_unix_s()
         retry_at_unix_s = retry_after_unix_s(self.local.expected_wait_s(work), now, self.rng)
-        kind = Kind.NO_CAPACITY
+        kind = ErrorKind.NO_CAPACITY
         if choice.reason is RegionReason.HOME_LOST:
-            kind = Kind.HOME_UNREACHABLE
-        return refuse(kind, Run.NO, choice.reason.value, retry_at_unix_s)
+            kind = ErrorKind.HOME_UNREACHABLE
+        return refuse(kind, RunStatus.NO, choice.reason.value, retry_at_unix_s)
 
     async def _pause_or_refuse(
         self, request: GatewayRequest, result: AttemptResult, history: AttemptHistory
     ) -> Refusal | None:
         work, now = request.work, now_unix_s()
-        if result.refusal is not None and result.refusal.kind is Kind.CRASHES_SERVERS:
+        if result.refusal is not None and result.refusal.kind is ErrorKind.CRASHES_SERVERS:
             return evolve(result.refusal, run=history.run)
-        if history.run is Run.UNKNOWN and not self.guard.may_repeat(request.fingerprint):
-            return refuse(Kind.OUTCOME_UNKNOWN, Run.UNKNOWN, result.detail)
-        if not may_try_again(history.states, work.repeatable):
-            return refuse(Kind.OUTCOME_UNKNOWN, Run.UNKNOWN, result.detail)
+        if history.run is RunStatus.UNKNOWN and not self.guard.may_repeat(request.fingerprint):
+            return refuse(ErrorKind.OUTCOME_UNKNOWN, RunStatus.UNKNOWN, result.detail)
+        if not may_retry(history.states, work.repeatable):
+            return refuse(ErrorKind.OUTCOME_UNKNOWN, RunStatus.UNKNOWN, result.detail)
         if request.forwarded_by is not None and result.refusal is not None:
             return result.refusal
         # Home-bound work can't run elsewhere. Retrying here until its deadline would only keep its
@@ -204,10 +208,8 @@
             and _is_home_unreachable(result)
         ):
             return result.refusal
-        verdict = retry_verdict(
-            work, history.run, len(history.states), self._budget(work), 0.0, now
-        )
-        if verdict is RetryVerdict.RETRY:
+        verdict = decide_retry(work, history.run, len(history.states), self._budget(work), 0.0, now)
+        if verdict is RetryDecision.RETRY:
             await asyncio.sleep(UNRUN_PAUSE_S)
             return None
         if verdict in BACKOFF_VERDICTS and work.repeatable:
@@ -230,31 +232,31 @@
         """Return the last refusal with a new retry time if nothing ran, else a missed deadline."""
         now = now_unix_s()
         retry_at_unix_s = retry_after_unix_s(self.local.expected_wait_s(work), now, self.rng)
-        if history.run is Run.NO and history.last_refusal is not None:
+        if history.run is RunStatus.NO and history.last_refusal is not None:
             return evolve(history.last_refusal, retry_at_unix_s=retry_at_unix_s)
         detail = "the deadline passed before another attempt"
-        return refuse(Kind.DEADLINE_PASSED, history.run, detail, retry_at_unix_s)
+        return refuse(ErrorKind.DEADLINE_PASSED, history.run, detail, retry_at_unix_s)
 
     def _exhausted_refusal(
-        self, work: Work, result: AttemptResult, history: AttemptHistory, verdict: RetryVerdict
+        self, work: Work, result: AttemptResult, history: AttemptHistory, verdict: RetryDecision
     ) -> Refusal:
         if history.last_refusal is not None:
             return history.last_refusal
-        if verdict is RetryVerdict.DEADLINE:
-            return refuse(Kind.DEADLINE_PASSED, history.run, result.detail)
+        if verdict is RetryDecision.DEADLINE:
+            return refuse(ErrorKind.DEADLINE_PASSED, history.run, result.detail)
         now = now_unix_s()
         retry_at_unix_s = retry_after_unix_s(self.local.expected_wait_s(work), now, self.rng)
-        kind = Kind.NO_CAPACITY if history.run is Run.NO else Kind.OUTCOME_UNKNOWN
+        kind = ErrorKind.NO_CAPACITY if history.run is RunStatus.NO else ErrorKind.OUTCOME_UNKNOWN
         return refuse(kind, history.run, f"{verdict.value}: {result.detail}", retry_at_unix_s)
 
     def _final_refusal(self, refusal: Refusal, history: AttemptHistory) -> Refusal:
         """Return the refusal without "not run" if an earlier attempt may have run."""
-        if refusal.run is Run.NO and history.run is Run.UNKNOWN:
-            return refuse(Kind.OUTCOME_UNKNOWN, Run.UNKNOWN, refusal.detail)
+        if refusal.run is RunStatus.NO and history.run is RunStatus.UNKNOWN:
+            return refuse(ErrorKind.OUTCOME_UNKNOWN, RunStatus.UNKNOWN, refusal.detail)
         return refusal
 
     async def _abort(self, sink: AnswerSink, result: AttemptResult) -> Refusal:
-        refusal = refuse(Kind.OUTCOME_UNKNOWN, Run.UNKNOWN, result.detail)
+        refusal = refuse(ErrorKind.OUTCOME_UNKNOWN, RunStatus.UNKNOWN, result.detail)
         await sink.abort(refusal)
         return refusal
 
@@ -263,4 +265,4 @@
 
 
 def _is_home_unreachable(result: AttemptResult) -> bool:
-    return result.refusal is not None and result.refusal.kind is Kind.HOME_UNREACHABLE
+    return result.refusal is not None and result.refusal.kind is ErrorKind.HOME_UNREACHABLE
--- a/src/pomelobarrow/relay/front.py
+++ b/src/pomelobarrow/relay/front.py
@@ -10,9 +10,9 @@
 
 from pomelobarrow.callers.headers import check_text
 from pomelobarrow.decision.configuration import Rank
-from pomelobarrow.decision.errors import Kind, Refusal, Run
+from pomelobarrow.decision.errors import ErrorKind, Refusal, RunStatus
 from pomelobarrow.decision.routing import Route, Routing
-from pomelobarrow.decision.turning_away import MIN_RETRY_AFTER_S
+from pomelobarrow.decision.stream_admission import MIN_RETRY_AFTER_S
 from pomelobarrow.decision.work import Work
 from pomelobarrow.dispatch.answers import CallerGoneError
 from pomelobarrow.dispatch.refusals import refuse
@@ -64,7 +64,7 @@
         accepted_unix_s = now_unix_s()
         routing = await self._wait_for_routing(accepted_unix_s)
         if routing is None:
-            refusal = refuse(Kind.NOT_READY, Run.NO, "no configuration yet")
+            refusal = refuse(ErrorKind.NOT_READY, RunStatus.NO, "no configuration yet")
             return await self._refuse(incoming, refusal)
         read = self._read(incoming, routing, forwarded_by)
         if isinstance(read, Err):
@@ -164,7 +164,9 @@
         return Ok(await incoming.read() if incoming.can_read_body else b"")
     except web.HTTPRequestEntityTooLarge:
         detail = "the request body is too large"
-        return Err(refuse(Kind.BODY_TOO_LARGE, Run.NO, detail, remedy="send a smaller body"))
+        return Err(
+            refuse(ErrorKind.BODY_TOO_LARGE, RunStatus.NO, detail, remedy="send a smaller body")
+        )
     except web.RequestPayloadError:
         return Err(_malformed("the framing of the request body is invalid"))
 
@@ -174,7 +176,7 @@
 
 
 def _malformed(detail: str) -> Refusal:
-    return refuse(Kind.MALFORMED_REQUEST, Run.NO, detail, remedy=REMEDY_REQUEST)
+    return refuse(ErrorKind.MALFORMED_REQUEST, RunStatus.NO, detail, remedy=REMEDY_REQUEST)
 
 
 def _no_route(forwarded_by: str) -> Refusal:
@@ -184,14 +186,16 @@
     it must not answer that there is no such route.
     """
     if forwarded_by:
-        return refuse(Kind.NOT_READY, Run.NO, "this VM has not received the route yet")
+        return refuse(ErrorKind.NOT_READY, RunStatus.NO, "this VM has not received the route yet")
     remedy = "use a host and path of a published route"
-    return refuse(Kind.UNKNOWN_SERVICE, Run.NO, "no route matches the host and path", remedy=remedy)
+    return refuse(
+        ErrorKind.UNKNOWN_SERVICE, RunStatus.NO, "no route matches the host and path", remedy=remedy
+    )
 
 
 def _stops_too_soon(now_unix_s: float) -> Refusal:
     detail = "this VM is stopping and might not finish the request in time"
-    return refuse(Kind.DRAINING, Run.NO, detail, now_unix_s + MIN_RETRY_AFTER_S)
+    return refuse(ErrorKind.DRAINING, RunStatus.NO, detail, now_unix_s + MIN_RETRY_AFTER_S)
 
 
 def _closed(incoming: web.BaseRequest) -> web.StreamResponse:
--- a/src/pomelobarrow/relay/health_monitor.py
+++ b/src/pomelobarrow/relay/health_monitor.py
@@ -43,7 +43,7 @@
     ) -> None:
         """Record how an attempt ended; a refusal does not count against a server."""
         # If that incarnation is gone, its successor must not be charged with the failure.
-        if report.end is AttemptEnd.REFUSED or not self.table.is_current(server):
+        if report.end is AttemptEnd.REFUSED or not self.table.is_current_incarnation(server):
             return
         now = now_unix_s()
         if report.end in (AttemptEnd.PASSED_ON, AttemptEnd.ANSWERED):
@@ -65,15 +65,15 @@
 
     def _eject_outlier(self, server: BackendServer, detail: str, now_unix_s: float) -> None:
         names = (each.incarnation for each in self.table.pool_servers(server.pool))
-        verdict = self.outliers.verdict(server.incarnation, names)
-        if verdict:
+        outlier_reason = self.outliers.outlier_reason(server.incarnation, names)
+        if outlier_reason:
             self.outliers.forget(server.incarnation)
             self.table.eject(server.name, now_unix_s)
         is_first_report = server.incarnation not in self._ejected
         if is_first_report and self.table.is_ejected(server.name, now_unix_s):
             self._ejected.add(server.incarnation)
             self.observe(
-                ServerEjected(server=server.name, pool=server.pool, detail=verdict or detail)
+                ServerEjected(server=server.name, pool=server.pool, detail=outlier_reason or detail)
             )
 
 
--- a/src/pomelobarrow/relay/relay.py
+++ b/src/pomelobarrow/relay/relay.py
@@ -9,14 +9,14 @@
 
 from pomelobarrow.backends.sessions import BackendSessions
 from pomelobarrow.callers.problems import problem_body
-from pomelobarrow.decision.costs import prefill_tokens
-from pomelobarrow.decision.errors import Kind, Refusal, Run
+from pomelobarrow.decision.errors import ErrorKind, Refusal, RunStatus
 from pomelobarrow.decision.placement import Placer
-from pomelobarrow.decision.placement_request import Nowhere, OnPeer, OnServer
-from pomelobarrow.decision.retry_line import RetryLine
+from pomelobarrow.decision.placement_request import LocalPlacement, NoPlacement, PeerPlacement
+from pomelobarrow.decision.retry_schedule import RetrySchedule
 from pomelobarrow.decision.retry_share import RetryShare
 from pomelobarrow.decision.routing import Routing
-from pomelobarrow.decision.turning_away import MIN_RETRY_AFTER_S, retry_at_unix_s
+from pomelobarrow.decision.stream_admission import MIN_RETRY_AFTER_S, retry_at_unix_s
+from pomelobarrow.decision.token_estimates import prefill_tokens
 from pomelobarrow.decision.work import BackendServer, LoadReport, Placement
 from pomelobarrow.dispatch.advertised_limits import record_advertised_limit
 from pomelobarrow.dispatch.answers import CallerGoneError
@@ -59,7 +59,7 @@
     guard: CrashGuard = field(factory=CrashGuard)
     log: RelayLog = field(init=False)
     in_progress: int = 0
-    retry_line: RetryLine = field(factory=RetryLine)
+    retry_line: RetrySchedule = field(factory=RetrySchedule)
     first_answer_times: FirstAnswerTimes = field(factory=FirstAnswerTimes)
 
     def __attrs_post_init__(self) -> None:
@@ -109,9 +109,9 @@
             decision = self.placer.place(
                 progress.request.for_placement, progress.routing, progress.excluded, now_unix_s()
             )
-            if isinstance(decision, Nowhere) and await self._wait_for_limit(progress, decision):
+            if isinstance(decision, NoPlacement) and await self._wait_for_limit(progress, decision):
                 continue
-            if isinstance(decision, Nowhere):
+            if isinstance(decision, NoPlacement):
                 progress.history.last_detail = progress.history.last_detail or decision.reason
                 progress.unplaced_wait_s = decision.wait_s
                 self.log.not_placed(progress, decision)
@@ -130,7 +130,7 @@
                 return Step.DONE
             return last_step(progress.history, progress.sink.is_started)
 
-    async def _wait_for_limit(self, progress: RequestProgress, decision: Nowhere) -> bool:
+    async def _wait_for_limit(self, progress: RequestProgress, decision: NoPlacement) -> bool:
         """Wait for a server's advertised rate limit if the wait may end before the target time."""
         next_unix_s, now = decision.next_unix_s, now_unix_s()
         if next_unix_s is None or progress.request.forwarded_by:
@@ -153,12 +153,14 @@
 
     def _take_retry(self, progress: RequestProgress) -> bool:
         live_vms = len(self.placer.members.live)
-        return self.retries.take_repeat(progress.request.work.pool, live_vms, now_unix_s())
+        return self.retries.try_take_retry(progress.request.work.pool, live_vms, now_unix_s())
 
-    async def _send(self, progress: RequestProgress, decision: OnServer | OnPeer) -> AttemptReport:
+    async def _send(
+        self, progress: RequestProgress, decision: LocalPlacement | PeerPlacement
+    ) -> AttemptReport:
         progress.history.attempts += 1
         self.log.placed(progress, decision)
-        if isinstance(decision, OnServer):
+        if isinstance(decision, LocalPlacement):
             return await self._send_to_server(progress, decision.placement)
         return await self._send_to_peer(progress, decision)
 
@@ -170,8 +172,8 @@
         tokens = prefill_tokens(work, placement.cached_tokens)
         kv_tokens = tokens + work.expected_output_tokens
         if not progress.history.was_sent:
-            self.retries.note_first(work.pool, now)
-        self.placer.note_placed(server, now)
+            self.retries.record_first_arrival(work.pool, now)
+        self.placer.record_placement(server, now)
         table.prefixes.observe_placement(server.name, work.prefix_hashes)
         table.charge(work.request_id, server.name, tokens, now, kv_tokens)
         options = ServerCallOptions(
@@ -217,7 +219,9 @@
         if head.ended_server_key is not None:
             self.guard.note_crash(request.fingerprint, head.ended_server_key)
 
-    async def _send_to_peer(self, progress: RequestProgress, decision: OnPeer) -> AttemptReport:
+    async def _send_to_peer(
+        self, progress: RequestProgress, decision: PeerPlacement
+    ) -> AttemptReport:
         target = peer_target(
             decision.member,
             self.hop_port,
@@ -230,9 +234,9 @@
             progress, target, on_head=lambda head: self._record_peer_crash(progress.request, head)
         )
         if report.end is AttemptEnd.NOT_SENT:
-            self.placer.members.note_unreached(decision.member.vm, now_unix_s())
+            self.placer.members.note_connect_failure(decision.member.vm, now_unix_s())
         elif report.end is not AttemptEnd.LOST:
-            self.placer.members.reach.note_reached(decision.member.vm)
+            self.placer.members.connect_backoff.note_connected(decision.member.vm)
         if report.end is not AttemptEnd.PASSED_ON:
             progress.excluded.peers.add(decision.member.vm)
         if report.end in (AttemptEnd.REFUSED, AttemptEnd.REFUSED_UNSENT):
@@ -240,7 +244,7 @@
         return report
 
     @staticmethod
-    def _exclude_refusing_target(progress: RequestProgress, decision: OnPeer) -> None:
+    def _exclude_refusing_target(progress: RequestProgress, decision: PeerPlacement) -> None:
         """Exclude the server whose coordinator refused, or else the region of the peer."""
         if decision.server:
             progress.excluded.servers.add(decision.server)
@@ -260,19 +264,19 @@
         if not route.is_repeatable or is_suspect or progress.history.attempts_left < 2:
             return None
 
-        def take_repeat() -> bool:
+        def try_take_retry() -> bool:
             progress.is_retry_reserved = self._take_retry(progress)
             return progress.is_retry_reserved
 
         time_limit_s = self.first_answer_times.time_limit_s(route.name, placement.expected_wait_s)
-        return FirstAnswerTimeout(limit_s=time_limit_s, may_give_up=take_repeat)
+        return FirstAnswerTimeout(limit_s=time_limit_s, may_give_up=try_take_retry)
 
     def _record_server_state(self, server: BackendServer, head: ServerAnswerHead) -> None:
         """Record the load and the limit that a server reports with an answer."""
         table = self.placer.table
         record_advertised_limit(table, server, head.limit_per_s, head.limit_header, self.observe)
         # The server may have been replaced by another incarnation since the request was sent.
-        if head.counts is None or not table.is_current(server):
+        if head.counts is None or not table.is_current_incarnation(server):
             return
         now = now_unix_s()
         partial_report = LoadReport(
@@ -280,9 +284,9 @@
             measured_unix_s=now,
             running=head.counts.running,
             waiting=head.counts.waiting,
-            is_glimpse=True,
+            is_partial=True,
         )
-        table.observe_glimpse(partial_report, now)
+        table.observe_partial_report(partial_report, now)
 
     def _pause_observer(self, progress: RequestProgress, server: str) -> Callable[[float], None]:
         gap_target_s, pauses = progress.request.work.gap_target_s, self.placer.table.pauses
@@ -345,28 +349,28 @@
         refusal = self._refusal(progress, step)
         request_id = progress.request.work.request_id
         await self.refuse(refusal, request_id, progress.sink, progress.history)
-        return "refused" if refusal.run is Run.NO else "failed"
+        return "refused" if refusal.run is RunStatus.NO else "failed"
 
     def _refusal(self, progress: RequestProgress, step: Step) -> Refusal:
         work, detail = progress.request.work, progress.history.last_detail
         if step is Step.BLOCK:
-            run = Run.UNKNOWN if progress.history.may_have_run else Run.NO
+            run = RunStatus.UNKNOWN if progress.history.may_have_run else RunStatus.NO
             return self.guard.refusal(work.request_id, work.pool, progress.request.fingerprint, run)
         if step is Step.FAIL:
             is_late = now_unix_s() >= work.deadline_unix_s
-            kind = Kind.DEADLINE_PASSED if is_late else Kind.OUTCOME_UNKNOWN
-            return refuse(kind, Run.UNKNOWN, detail)
+            kind = ErrorKind.DEADLINE_PASSED if is_late else ErrorKind.OUTCOME_UNKNOWN
+            return refuse(kind, RunStatus.UNKNOWN, detail)
         now = now_unix_s()
         if progress.history.attempts and not progress.unplaced_wait_s:
             pause_s = MIN_RETRY_AFTER_S * self.rng.uniform(1.0, 1.0 + RETRY_JITTER)
-            return refuse(Kind.NO_CAPACITY, Run.NO, detail, now + pause_s)
+            return refuse(ErrorKind.NO_CAPACITY, RunStatus.NO, detail, now + pause_s)
         # Without any server the drain rate is meaningless, and the outage outlasts a full queue.
         wait_s = progress.unplaced_wait_s or max(0.0, work.deadline_unix_s - now)
         taken_per_s = self.placer.table.drain_per_s(work.pool, now) / self._local_vms
         retry_at = retry_at_unix_s(
             self.retry_line, wait_s, taken_per_s, work.deadline_unix_s, now, self.rng
         )
-        return refuse(Kind.NO_CAPACITY, Run.NO, detail, retry_at)
+        return refuse(ErrorKind.NO_CAPACITY, RunStatus.NO, detail, retry_at)
 
     @property
     def _local_vms(self) -> int:
--- a/src/pomelobarrow/relay/relay_log.py
+++ b/src/pomelobarrow/relay/relay_log.py
@@ -4,9 +4,9 @@
 
 from attrs import define
 
-from pomelobarrow.decision.fingerprint import readable
+from pomelobarrow.decision.fingerprint import format_fingerprint
 from pomelobarrow.decision.load_table import LoadTable
-from pomelobarrow.decision.placement_request import Nowhere, OnPeer, OnServer
+from pomelobarrow.decision.placement_request import LocalPlacement, NoPlacement, PeerPlacement
 from pomelobarrow.decision.region_choice import RegionLoad
 from pomelobarrow.kernel.clock import now_unix_s
 from pomelobarrow.relay.attempt import Target
@@ -29,10 +29,10 @@
     region_loads: Callable[[str], Mapping[str, RegionLoad]]
     observe: Callable[[object], None]
 
-    def placed(self, progress: RequestProgress, decision: OnServer | OnPeer) -> None:
+    def placed(self, progress: RequestProgress, decision: LocalPlacement | PeerPlacement) -> None:
         """Report where a request is sent."""
         work, table = progress.request.work, self.table
-        if isinstance(decision, OnServer):
+        if isinstance(decision, LocalPlacement):
             target, region = decision.placement.server.name, self.own_region
             expected_s = decision.placement.expected_wait_s
             cached_tokens = decision.placement.cached_tokens
@@ -61,7 +61,7 @@
             )
         )
 
-    def not_placed(self, progress: RequestProgress, decision: Nowhere) -> None:
+    def not_placed(self, progress: RequestProgress, decision: NoPlacement) -> None:
         """Report that no server or peer may get a request now."""
         work, table, now = progress.request.work, self.table, now_unix_s()
         listed = table.pool_servers(work.pool)
@@ -118,7 +118,7 @@
             RelayEnded(
                 request_id=work.request_id,
                 route=progress.request.route.name,
-                fingerprint=readable(progress.request.fingerprint),
+                fingerprint=format_fingerprint(progress.request.fingerprint),
                 outcome=outcome,
                 status=progress.sink.status,
                 detail=progress.history.last_detail,
--- a/tests/test_callers_entries.py
+++ b/tests/test_callers_entries.py
@@ -5,7 +5,7 @@
 
 from pomelobarrow.callers.entries import EntryDirectory
 from pomelobarrow.decision.configuration import Account
-from pomelobarrow.decision.errors import Kind, Run
+from pomelobarrow.decision.errors import ErrorKind, RunStatus
 from pomelobarrow.decision.member import Member, Phase
 from pomelobarrow.decision.membership import MembershipView
 from pomelobarrow.decision.request_ids import RequestIdLedger
@@ -30,7 +30,7 @@
         answer = directory(phase).answer(ACCOUNT, REGION, {})
         assert isinstance(answer, Err)
         refusal = answer.err_value
-        assert (refusal.kind, refusal.run) == (Kind.NOT_READY, Run.NO)
+        assert (refusal.kind, refusal.run) == (ErrorKind.NOT_READY, RunStatus.NO)
         assert refusal.remedy == "ask GET /v1/entries for another entry VM"
         assert refusal.retry_at_unix_s is not None
 
@@ -49,7 +49,7 @@
     # another region is only heard of every few seconds, and goes on being named.
     held, now = directory(Phase.READY), now_unix_s()
     for vm, region in (("milan-2", REGION), ("turin-1", "turin")):
-        told = Member(vm=vm, incarnation=1, region=region, heard_unix_s=now - 7.0)
+        told = Member(vm=vm, incarnation=1, region=region, last_seen_unix_s=now - 7.0)
         held.view.observe_summary(told, now)
     answer = held.answer(ACCOUNT, REGION, {})
     assert isinstance(answer, Ok)
--- a/tests/test_dispatch_refusals.py
+++ b/tests/test_dispatch_refusals.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from pomelobarrow.decision.errors import Kind, Run
+from pomelobarrow.decision.errors import ErrorKind, RunStatus
 from pomelobarrow.dispatch.refusals import RETRY_AFTER_S_BY_KIND, refuse
 from pomelobarrow.kernel.clock import now_unix_s
 
@@ -10,13 +10,13 @@
 @pytest.mark.parametrize("kind", RETRY_AFTER_S_BY_KIND, ids=lambda kind: kind.label)
 def test_refusal_of_a_temporary_condition_states_a_retry_time(kind):
     started_unix_s = now_unix_s()
-    refusal = refuse(kind, Run.NO, "not now")
+    refusal = refuse(kind, RunStatus.NO, "not now")
     assert refusal.retry_at_unix_s >= started_unix_s + RETRY_AFTER_S_BY_KIND[kind]
 
 
 def test_estimated_retry_time_overrides_the_default():
-    assert refuse(Kind.OVERLOADED, Run.NO, "full", 12.0).retry_at_unix_s == 12.0
+    assert refuse(ErrorKind.OVERLOADED, RunStatus.NO, "full", 12.0).retry_at_unix_s == 12.0
 
 
 def test_unknown_outcome_states_no_retry_time():
-    assert refuse(Kind.DRAINING, Run.UNKNOWN, "stopping").retry_at_unix_s is None
+    assert refuse(ErrorKind.DRAINING, RunStatus.UNKNOWN, "stopping").retry_at_unix_s is None
--- a/tests/test_relay_directory.py
+++ b/tests/test_relay_directory.py
@@ -98,7 +98,7 @@
     # regions and the request would be refused.
     relay_directory = directory({"c": Phase.READY}, BOUND)
     now = now_unix_s()
-    summary = Member(vm="vm-b", incarnation=1, region="b", heard_unix_s=now - 7.0)
+    summary = Member(vm="vm-b", incarnation=1, region="b", last_seen_unix_s=now - 7.0)
     relay_directory.view.observe_summary(summary, now)
     assert named(relay_directory, "a") == ["vm-b"]
     assert named(relay_directory, "c") == ["vm-c"]
