--- a/src/pomelobarrow/dispatch/dispatcher.py
+++ b/src/pomelobarrow/dispatch/dispatcher.py
@@ -36,7 +36,7 @@
 UNRUN_PAUSE_S = 0.02
 # After these decisions, repeatable work is retried with backoff until its deadline instead of being
 # refused. The backoff keeps such retries from amplifying an overload.
-BACKOFF_VERDICTS = frozenset({RetryDecision.BUDGET, RetryDecision.ATTEMPTS})
+BACKOFF_DECISIONS = frozenset({RetryDecision.BUDGET, RetryDecision.ATTEMPTS})
 
 
 @define(kw_only=True)
@@ -208,13 +208,15 @@
             and _is_home_unreachable(result)
         ):
             return result.refusal
-        verdict = decide_retry(work, history.run, len(history.states), self._budget(work), 0.0, now)
-        if verdict is RetryDecision.RETRY:
+        decision = decide_retry(
+            work, history.run, len(history.states), self._budget(work), 0.0, now
+        )
+        if decision is RetryDecision.RETRY:
             await asyncio.sleep(UNRUN_PAUSE_S)
             return None
-        if verdict in BACKOFF_VERDICTS and work.repeatable:
+        if decision in BACKOFF_DECISIONS and work.repeatable:
             return await self._back_off(work, history)
-        return self._exhausted_refusal(work, result, history, verdict)
+        return self._exhausted_refusal(work, result, history, decision)
 
     async def _back_off(self, work: Work, history: AttemptHistory) -> Refusal | None:
         pause_s = min(BACKOFF_CEILING_S, BACKOFF_FLOOR_S * 2 ** len(history.states))
@@ -238,16 +240,16 @@
         return refuse(ErrorKind.DEADLINE_PASSED, history.run, detail, retry_at_unix_s)
 
     def _exhausted_refusal(
-        self, work: Work, result: AttemptResult, history: AttemptHistory, verdict: RetryDecision
+        self, work: Work, result: AttemptResult, history: AttemptHistory, decision: RetryDecision
     ) -> Refusal:
         if history.last_refusal is not None:
             return history.last_refusal
-        if verdict is RetryDecision.DEADLINE:
+        if decision is RetryDecision.DEADLINE:
             return refuse(ErrorKind.DEADLINE_PASSED, history.run, result.detail)
         now = now_unix_s()
         retry_at_unix_s = retry_after_unix_s(self.local.expected_wait_s(work), now, self.rng)
         kind = ErrorKind.NO_CAPACITY if history.run is RunStatus.NO else ErrorKind.OUTCOME_UNKNOWN
-        return refuse(kind, history.run, f"{verdict.value}: {result.detail}", retry_at_unix_s)
+        return refuse(kind, history.run, f"{decision.value}: {result.detail}", retry_at_unix_s)
 
     def _final_refusal(self, refusal: Refusal, history: AttemptHistory) -> Refusal:
         """Return the refusal without "not run" if an earlier attempt may have run."""
--- a/src/pomelobarrow/dispatch/local.py
+++ b/src/pomelobarrow/dispatch/local.py
@@ -255,14 +255,14 @@
         self.table.started(work.request_id, now_unix_s())
 
     def _mark_server(self, result: AttemptResult) -> None:
-        verdict = {
+        mark = {
             AttemptState.FINISHED: self.table.mark_ok,
             AttemptState.NOT_SENT: self.table.mark_failed,
             AttemptState.UNKNOWN: self.table.mark_failed,
             AttemptState.REFUSED_UNRUN: self.table.mark_failed,
         }.get(result.state)
-        if verdict is not None:
-            verdict(result.server, now_unix_s())
+        if mark is not None:
+            mark(result.server, now_unix_s())
 
 
 class QueueSweeper(Service):
--- a/src/pomelobarrow/relay/relay.py
+++ b/src/pomelobarrow/relay/relay.py
@@ -59,7 +59,7 @@
     guard: CrashGuard = field(factory=CrashGuard)
     log: RelayLog = field(init=False)
     in_progress: int = 0
-    retry_line: RetrySchedule = field(factory=RetrySchedule)
+    retry_schedule: RetrySchedule = field(factory=RetrySchedule)
     first_answer_times: FirstAnswerTimes = field(factory=FirstAnswerTimes)
 
     def __attrs_post_init__(self) -> None:
@@ -368,7 +368,7 @@
         wait_s = progress.unplaced_wait_s or max(0.0, work.deadline_unix_s - now)
         taken_per_s = self.placer.table.drain_per_s(work.pool, now) / self._local_vms
         retry_at = retry_at_unix_s(
-            self.retry_line, wait_s, taken_per_s, work.deadline_unix_s, now, self.rng
+            self.retry_schedule, wait_s, taken_per_s, work.deadline_unix_s, now, self.rng
         )
         return refuse(ErrorKind.NO_CAPACITY, RunStatus.NO, detail, retry_at)
 
