--- a/src/pomelobarrow/relay/relay_log.py
+++ b/src/pomelobarrow/relay/relay_log.py
@@ -1,4 +1,4 @@
-"""Tell logs and metrics what became of a relayed request, and what it was decided on."""
+"""Report the decisions on relayed requests and their outcomes to logs and metrics."""
 
 from collections.abc import Callable, Mapping
 
@@ -22,7 +22,7 @@
 
 @define(kw_only=True)
 class RelayLog:
-    """Hold what the events are made of."""
+    """Build and emit the events of relayed requests."""
 
     own_region: str
     table: LoadTable
@@ -46,7 +46,7 @@
                 route=progress.request.route.name,
                 pool=work.pool,
                 routing_version=progress.routing.version,
-                attempt=progress.tries.attempts,
+                attempt=progress.history.attempts,
                 target=target,
                 target_region=region,
                 reason=decision.reason,
@@ -61,8 +61,8 @@
             )
         )
 
-    def nowhere(self, progress: RequestProgress, decision: NoPlacement) -> None:
-        """Report that nobody may get a request now."""
+    def not_placed(self, progress: RequestProgress, decision: NoPlacement) -> None:
+        """Report that no server or peer may get a request now."""
         work, table, now = progress.request.work, self.table, now_unix_s()
         listed = table.pool_servers(work.pool)
         loads = self.region_loads(work.pool).items()
@@ -72,7 +72,7 @@
                 route=progress.request.route.name,
                 pool=work.pool,
                 routing_version=progress.routing.version,
-                attempts=progress.tries.attempts,
+                attempts=progress.history.attempts,
                 reason=decision.reason,
                 expected_wait_s=decision.wait_s,
                 servers_listed=len(listed),
@@ -94,13 +94,13 @@
         report: AttemptReport,
         started_unix_s: float,
     ) -> None:
-        """Report how one sending ended."""
+        """Report how one attempt ended."""
         self.observe(
             RelayAttemptEnded(
                 request_id=progress.request.work.request_id,
                 route=progress.request.route.name,
                 pool=progress.request.work.pool,
-                attempt=progress.tries.attempts,
+                attempt=progress.history.attempts,
                 target=target.name,
                 end=report.end.value,
                 status=report.answer.head.status if report.answer else 0,
@@ -112,7 +112,7 @@
         )
 
     def end(self, progress: RequestProgress, outcome: str) -> None:
-        """Report what the client got."""
+        """Report the outcome for the client."""
         work, first_unix_s = progress.request.work, progress.first_answer_unix_s
         self.observe(
             RelayEnded(
@@ -121,9 +121,9 @@
                 fingerprint=format_fingerprint(progress.request.fingerprint),
                 outcome=outcome,
                 status=progress.sink.status,
-                detail=progress.tries.last_detail,
+                detail=progress.history.last_detail,
                 routing_version=progress.routing.version,
-                attempts=progress.tries.attempts,
+                attempts=progress.history.attempts,
                 forwarded_by=progress.request.forwarded_by,
                 took_s=now_unix_s() - work.accepted_unix_s,
                 first_answer_s=_since(work.accepted_unix_s, first_unix_s),
