--- a/bench/profile/peers.py
+++ b/bench/profile/peers.py
@@ -148,11 +148,11 @@
         """Return a stream to be dialed or accepted."""
         return PeerStream(peer, self.place.region, self.exchange, self.heartbeats)
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Send a heartbeat on each open stream."""
         dialed = [self._link.stream] if self._link is not None else []
         for stream in (*dialed, *self.accepted):
-            stream.beat()
+            stream.send_heartbeat()
 
     def _member(self, place: Place, now_unix_s: float) -> Member:
         return Member(
@@ -192,7 +192,7 @@
         while True:
             for peer in self.peers:
                 peer.hear_everyone()
-                peer.beat()
+                peer.send_heartbeat()
                 await asyncio.sleep(HEARD_EVERY_S / len(self.peers))
 
 
--- a/bench/profile/region.py
+++ b/bench/profile/region.py
@@ -24,7 +24,7 @@
 from pomelobarrow.dispatch.local import LocalDispatch
 from pomelobarrow.peers import peers_pb2 as pb
 from pomelobarrow.peers.grid import neighbours
-from pomelobarrow.peers.heartbeats import Heartbeats, SentNews
+from pomelobarrow.peers.heartbeats import Heartbeats, SentUpdates
 from pomelobarrow.peers.region_loads import RegionLoads
 from pomelobarrow.published.keyspaces import CONFIG, VMS, PublishedState
 
@@ -76,7 +76,7 @@
     random: Random
     running: deque[tuple[float, str, str]] = field(factory=deque)
     # What each node has told and heard of on the stream that it shares with another.
-    sent: dict[str, SentNews] = field(factory=dict)
+    sent: dict[str, SentUpdates] = field(factory=dict)
     placed: int = 0
 
 
@@ -145,16 +145,16 @@
         return sorted(self.nodes[vm].heartbeats.neighbours.all)
 
     def _beat(self, sender: _Node, receiver: _Node) -> None:
-        sent = sender.sent.setdefault(receiver.vm, SentNews())
+        sent = sender.sent.setdefault(receiver.vm, SentUpdates())
         heartbeat = sender.heartbeats.full(receiver.vm, same_region=True, sent=sent)
         heard = self._pass(pb.PeerMessage(heartbeat=heartbeat)).heartbeat
-        receiver.heartbeats.take(heard, receiver.sent.setdefault(sender.vm, SentNews()))
-        question = receiver.heartbeats.ask_for_members(heard)
+        receiver.heartbeats.take(heard, receiver.sent.setdefault(sender.vm, SentUpdates()))
+        question = receiver.heartbeats.missing_members_request(heard)
         if question is None:
             return
         asked = self._pass(question).member_request
         for answer in sender.heartbeats.describe_members(asked):
-            receiver.heartbeats.take_members(self._pass(answer).member_descriptions, sender.vm)
+            receiver.heartbeats.receive_members(self._pass(answer).member_descriptions, sender.vm)
 
     def _pass(self, message: pb.PeerMessage) -> pb.PeerMessage:
         data = message.SerializeToString()
--- a/src/pomelobarrow/backends/plugin.py
+++ b/src/pomelobarrow/backends/plugin.py
@@ -30,7 +30,7 @@
 from pomelobarrow.kernel.context import Context
 from pomelobarrow.kernel.hooks import PhasedService, StartPhase, hookimpl
 from pomelobarrow.operators.traces import Traces
-from pomelobarrow.peers.events import PauseNoticed
+from pomelobarrow.peers.events import ProcessPauseDetected
 from pomelobarrow.published.keyspaces import PublishedState
 
 ATTEMPT_BY_IS_CHAT = {True: EngineAttempt, False: ServiceAttempt}
@@ -87,7 +87,7 @@
     @hookimpl
     def observe(self, event: object) -> None:
         """Distrust the ownership of engines after a pause."""
-        if isinstance(event, PauseNoticed):
+        if isinstance(event, ProcessPauseDetected):
             self._context.get(OrderBook).observe_pause(now_unix_s())
 
 
--- a/src/pomelobarrow/dispatch/plugin.py
+++ b/src/pomelobarrow/dispatch/plugin.py
@@ -22,7 +22,7 @@
 from pomelobarrow.kernel.context import Context
 from pomelobarrow.kernel.hooks import PhasedService, StartPhase, StatusSection, hookimpl
 from pomelobarrow.operators.traces import Traces
-from pomelobarrow.peers.crash_news import CrashNews
+from pomelobarrow.peers.crash_updates import CrashUpdates
 from pomelobarrow.published.keyspaces import CONFIG, PublishedState
 
 SECRET_BYTES = 32
@@ -81,7 +81,7 @@
         suspects=context.get(CrashSuspects),
         watch=context.get(ServerWatch),
         live_vms=lambda: [member.vm for member in view.live(now_unix_s=now_unix_s())],
-        tell=context.get(CrashNews).tell,
+        tell=context.get(CrashUpdates).tell,
         observe=context.observe,
     )
 
--- a/src/pomelobarrow/operators/plugin.py
+++ b/src/pomelobarrow/operators/plugin.py
@@ -16,7 +16,7 @@
 from pomelobarrow.kernel.hooks import hookimpl
 from pomelobarrow.operators.metrics import Metrics
 from pomelobarrow.operators.traces import Traces
-from pomelobarrow.peers.events import MemberJudged, PauseNoticed, PeerRefused
+from pomelobarrow.peers.events import MemberLivenessChanged, PeerRefused, ProcessPauseDetected
 from pomelobarrow.published.events import (
     KeyspaceApplied,
     KeyspaceRefused,
@@ -51,7 +51,7 @@
             KeyspaceRefused: self._keyspace_refused,
             PlatformUnreachable: self._platform_unreachable,
             PlatformReachable: self._platform_reachable,
-            PauseNoticed: self._pause_noticed,
+            ProcessPauseDetected: self._pause_noticed,
             RelayPlaced: self._relay_placed,
             RelayPlacedNowhere: self._relay_placed_nowhere,
             RelayAttemptEnded: self._relay_attempt_ended,
@@ -62,7 +62,7 @@
             RequestBlocked: self._request_blocked,
             ServerBack: self._server_back,
             PeerRefused: self._peer_refused,
-            MemberJudged: self._member_judged,
+            MemberLivenessChanged: self._member_judged,
             DirectoryChanged: self._directory_changed,
         }
 
@@ -172,10 +172,10 @@
     def _server_back(self, event: ServerBack) -> None:
         self._log.info("server back", **asdict(event))
 
-    def _pause_noticed(self, event: PauseNoticed) -> None:
+    def _pause_noticed(self, event: ProcessPauseDetected) -> None:
         self._log.warning("this process stood still", gap_s=round(event.gap_s, 3))
 
-    def _member_judged(self, event: MemberJudged) -> None:
+    def _member_judged(self, event: MemberLivenessChanged) -> None:
         change = "heard" if event.is_live else "silent"
         self._metrics.member_changes.inc(change, "peer" if event.told_by else "itself")
         self._log.info(f"member {change}", **asdict(event))
--- a/src/pomelobarrow/peers/crash_news.py
+++ b/src/pomelobarrow/peers/crash_updates.py
@@ -18,7 +18,7 @@
 
 
 @define(kw_only=True)
-class CrashNews:
+class CrashUpdates:
     """Hold what is told: a new stream gets all of it, open ones each finding as it comes.
 
     A heartbeat a hop would be too late between regions. A VM passes on what was new to it, to all
--- a/src/pomelobarrow/peers/demand_news.py
+++ b/src/pomelobarrow/peers/demand_updates.py
@@ -26,7 +26,7 @@
 
 
 @define(kw_only=True)
-class DemandNews:
+class DemandUpdates:
     """Exchange demand: a VM's own along its row, the sum of its row along its column.
 
     Other regions are told the region's sum. Without it each region would admit the whole of an
--- a/src/pomelobarrow/peers/events.py
+++ b/src/pomelobarrow/peers/events.py
@@ -4,14 +4,14 @@
 
 
 @frozen
-class PauseNoticed:
+class ProcessPauseDetected:
     """Report that this process stood still."""
 
     gap_s: float
 
 
 @frozen(kw_only=True)
-class MemberJudged:
+class MemberLivenessChanged:
     """Report that a member counts as silent from now on, or as live again."""
 
     member: str
--- a/src/pomelobarrow/peers/exchange.py
+++ b/src/pomelobarrow/peers/exchange.py
@@ -12,8 +12,8 @@
 from pomelobarrow.decision.membership import MembershipView
 from pomelobarrow.kernel.clock import now_unix_s
 from pomelobarrow.peers import peers_pb2 as pb
-from pomelobarrow.peers.crash_news import CrashNews
-from pomelobarrow.peers.heartbeats import Heartbeats, SentNews
+from pomelobarrow.peers.crash_updates import CrashUpdates
+from pomelobarrow.peers.heartbeats import Heartbeats, SentUpdates
 from pomelobarrow.published.keyspaces import PublishedState
 from pomelobarrow.published.watcher import SOURCE_PLATFORM
 
@@ -33,14 +33,14 @@
     view: MembershipView
     published: PublishedState
     heartbeats: Heartbeats
-    crash_news: CrashNews = field(factory=CrashNews)
+    crash_updates: CrashUpdates = field(factory=CrashUpdates)
     _next_pull_unix_s: dict[str, float] = field(factory=dict)
     _gapped: set[str] = field(factory=set)
     # Per peer and keyspace, what its last heartbeat or our last push says that it holds.
     _peer_copies: dict[str, dict[str, KeyspaceSummary]] = field(factory=dict)
 
     def handle(
-        self, message: pb.PeerMessage, peer_vm: str, reply: Reply, sent: SentNews | None = None
+        self, message: pb.PeerMessage, peer_vm: str, reply: Reply, sent: SentUpdates | None = None
     ) -> None:
         """Take one message and answer through reply where it asks for something."""
         kind = message.WhichOneof("kind")
@@ -79,11 +79,11 @@
         return _delta_message(copy.changes_after(known.revision))
 
     def _on_heartbeat(
-        self, heartbeat: pb.Heartbeat, peer_vm: str, reply: Reply, sent: SentNews | None
+        self, heartbeat: pb.Heartbeat, peer_vm: str, reply: Reply, sent: SentUpdates | None
     ) -> None:
         is_newest = self.heartbeats.take(heartbeat, sent)
         # One that another stream's has overtaken may be the only one to tell of a member.
-        if (question := self.heartbeats.ask_for_members(heartbeat, sent)) is not None:
+        if (question := self.heartbeats.missing_members_request(heartbeat, sent)) is not None:
             reply(question)
         if not is_newest:
             return
@@ -158,12 +158,12 @@
             reply(answer)
 
     def _on_member_descriptions(
-        self, told: pb.MemberDescriptions, peer_vm: str, reply: Reply, sent: SentNews | None
+        self, told: pb.MemberDescriptions, peer_vm: str, reply: Reply, sent: SentUpdates | None
     ) -> None:
-        self.heartbeats.take_members(told, peer_vm, sent)
+        self.heartbeats.receive_members(told, peer_vm, sent)
 
     def _on_crash_findings(self, told: pb.CrashFindings, peer_vm: str, reply: Reply) -> None:
-        self.crash_news.take(told, peer_vm)
+        self.crash_updates.take(told, peer_vm)
 
     def _on_closing(self, closing: pb.Closing, peer_vm: str, reply: Reply) -> None:
         self.view.observe_unlinked(peer_vm, now_unix_s())
--- a/src/pomelobarrow/peers/forward_book.py
+++ b/src/pomelobarrow/peers/forward_registry.py
@@ -24,7 +24,7 @@
 
 
 @define
-class ForwardBook:
+class ForwardRegistry:
     """Hold the forwards by key; its size is bounded by their rate and the times above."""
 
     _seen: set[ForwardKey] = field(factory=set)
--- a/src/pomelobarrow/peers/forward_server.py
+++ b/src/pomelobarrow/peers/forward_server.py
@@ -18,7 +18,7 @@
 from pomelobarrow.dispatch.request import GatewayRequest
 from pomelobarrow.kernel.clock import now_unix_s
 from pomelobarrow.peers import peers_pb2 as pb
-from pomelobarrow.peers.forward_book import ForwardBook, ForwardKey
+from pomelobarrow.peers.forward_registry import ForwardKey, ForwardRegistry
 
 NOT_RUN = "not_run"
 UNKNOWN = "unknown"
@@ -101,7 +101,7 @@
     entry: EntryDispatch
     offsets: ClockOffsets
     is_draining: Callable[[], bool] = lambda: False
-    book: ForwardBook = field(factory=ForwardBook)
+    book: ForwardRegistry = field(factory=ForwardRegistry)
     _running: dict[ForwardKey, Running] = field(factory=dict)
 
     async def forward(self, stream, vm: str) -> None:  # type: ignore[no-untyped-def]
--- a/src/pomelobarrow/peers/heartbeats.py
+++ b/src/pomelobarrow/peers/heartbeats.py
@@ -13,22 +13,22 @@
 from pomelobarrow.dispatch.local import LocalDispatch
 from pomelobarrow.kernel.clock import now_unix_s
 from pomelobarrow.peers import peers_pb2 as pb
-from pomelobarrow.peers.demand_news import DemandNews, SentDemand
+from pomelobarrow.peers.demand_updates import DemandUpdates, SentDemand
 from pomelobarrow.peers.grid import LinkKind, Neighbours
-from pomelobarrow.peers.member_news import (
+from pomelobarrow.peers.member_updates import (
     DESCRIPTIONS_PER_MESSAGE,
-    MemberNews,
+    MemberUpdates,
     SentMembers,
 )
-from pomelobarrow.peers.pool_news import PoolNews, SentPools
+from pomelobarrow.peers.pool_updates import PoolUpdates, SentPools
 from pomelobarrow.peers.region_loads import RegionLoads
-from pomelobarrow.peers.server_news import SentServers, ServerNews
-from pomelobarrow.peers.time_news import SentTimes, TimeNews
+from pomelobarrow.peers.server_updates import SentServers, ServerUpdates
+from pomelobarrow.peers.service_time_updates import SentServiceTimes, ServiceTimeUpdates
 from pomelobarrow.published.keyspaces import PublishedState
 
 
 @define
-class SentNews:
+class SentUpdates:
     """Hold what was sent on one stream."""
 
     is_new: bool = True
@@ -36,7 +36,7 @@
     servers: SentServers = field(factory=SentServers)
     pools: SentPools = field(factory=SentPools)
     demand: SentDemand = field(factory=SentDemand)
-    times: SentTimes = field(factory=SentTimes)
+    times: SentServiceTimes = field(factory=SentServiceTimes)
 
 
 @define(kw_only=True)
@@ -55,11 +55,11 @@
     region_loads: RegionLoads
     own_reports: Callable[[], Iterable[LoadReport]]
     neighbours: Neighbours = field(factory=Neighbours, init=False)
-    _members: MemberNews = field(init=False)
-    _servers: ServerNews = field(init=False)
-    _pools: PoolNews = field(init=False)
-    _demand: DemandNews = field(init=False)
-    _times: TimeNews = field(init=False)
+    _members: MemberUpdates = field(init=False)
+    _servers: ServerUpdates = field(init=False)
+    _pools: PoolUpdates = field(init=False)
+    _demand: DemandUpdates = field(init=False)
+    _times: ServiceTimeUpdates = field(init=False)
     _sequence: "itertools.count[int]" = field(factory=lambda: itertools.count(1))
     _started_unix_s: float = field(factory=lambda: now_unix_s())
     # Per peer: its last heartbeat's sending time and when it came, to be echoed.
@@ -70,21 +70,21 @@
     _last_full: dict[str, tuple[int, int]] = field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        self._members = MemberNews(self.view)
-        self._servers = ServerNews(
+        self._members = MemberUpdates(self.view)
+        self._servers = ServerUpdates(
             table=self.local.table,
             servers=lambda: self.published.backend_servers,
             own_reports=self.own_reports,
         )
-        self._pools = PoolNews(
+        self._pools = PoolUpdates(
             own_region=self.view.own_region,
             offsets=self.offsets,
             published=self.published,
             local=self.local,
             region_loads=self.region_loads,
         )
-        self._times = TimeNews(self.local.table)
-        self._demand = DemandNews(
+        self._times = ServiceTimeUpdates(self.local.table)
+        self._demand = DemandUpdates(
             limits=self.limits, configuration=lambda: self.published.configuration
         )
 
@@ -100,7 +100,7 @@
         heartbeat.keyspaces.extend(self._keyspaces())
         return heartbeat
 
-    def full(self, peer: str, same_region: bool, sent: SentNews) -> pb.Heartbeat:
+    def full(self, peer: str, same_region: bool, sent: SentUpdates) -> pb.Heartbeat:
         """Return a heartbeat with the loads that are new on this stream to a peer."""
         now = now_unix_s()
         is_first, sent.is_new = sent.is_new, False
@@ -117,7 +117,7 @@
         self._demand.write(heartbeat, sent.demand, kind, self.neighbours, now)
         return heartbeat
 
-    def take(self, heartbeat: pb.Heartbeat, sent: SentNews | None = None) -> bool:
+    def take(self, heartbeat: pb.Heartbeat, sent: SentUpdates | None = None) -> bool:
         """Learn from a peer's heartbeat; False for one that is out of date.
 
         What the peer tells needn't be told to it on the same stream.
@@ -134,14 +134,14 @@
             self._note_whether_known(heartbeat)
             self._take_times(heartbeat, now)
         if self._is_news_of_loads(heartbeat):
-            self._take_loads(heartbeat, member, kind, sent or SentNews(), now)
+            self._take_loads(heartbeat, member, kind, sent or SentUpdates(), now)
         return is_newest
 
-    def ask_for_members(
-        self, heartbeat: pb.Heartbeat, sent: SentNews | None = None
+    def missing_members_request(
+        self, heartbeat: pb.Heartbeat, sent: SentUpdates | None = None
     ) -> pb.PeerMessage | None:
         """Return the question for the members that a peer tells of and this VM lacks."""
-        members = (sent or SentNews()).members
+        members = (sent or SentUpdates()).members
         keys = self._members.lacking(members, heartbeat.member_keys, now_unix_s())
         return pb.PeerMessage(member_request=pb.MemberRequest(keys=keys)) if keys else None
 
@@ -153,8 +153,8 @@
             descriptions = pb.MemberDescriptions(members=members, sent_unix_s=now_unix_s())
             yield pb.PeerMessage(member_descriptions=descriptions)
 
-    def take_members(
-        self, told: pb.MemberDescriptions, peer: str, sent: SentNews | None = None
+    def receive_members(
+        self, told: pb.MemberDescriptions, peer: str, sent: SentUpdates | None = None
     ) -> None:
         """Take the descriptions that a peer was asked for."""
         now, member = now_unix_s(), self.view.get(peer)
@@ -258,7 +258,7 @@
         heartbeat: pb.Heartbeat,
         member: Member,
         kind: LinkKind,
-        sent: SentNews,
+        sent: SentUpdates,
         now: float,
     ) -> None:
         sent_unix_s = self.offsets.sent_unix_s(heartbeat.vm, heartbeat.sent_unix_s, now)
--- a/src/pomelobarrow/peers/live_changes.py
+++ b/src/pomelobarrow/peers/liveness_changes.py
@@ -2,16 +2,16 @@
 
 from pomelobarrow.decision.member_record import Judgement
 from pomelobarrow.decision.membership import MembershipView
-from pomelobarrow.peers.events import MemberJudged
+from pomelobarrow.peers.events import MemberLivenessChanged
 
 
-def live_changes(view: MembershipView, now_unix_s: float) -> list[MemberJudged]:
+def liveness_changes(view: MembershipView, now_unix_s: float) -> list[MemberLivenessChanged]:
     """Return the members that are judged otherwise than at the last call."""
     return [_judged(each) for each in view.changed_judgements(now_unix_s)]
 
 
-def _judged(judgement: Judgement) -> MemberJudged:
-    return MemberJudged(
+def _judged(judgement: Judgement) -> MemberLivenessChanged:
+    return MemberLivenessChanged(
         member=judgement.member.vm,
         incarnation=judgement.member.incarnation,
         phase=judgement.member.phase,
--- a/src/pomelobarrow/peers/member_news.py
+++ b/src/pomelobarrow/peers/member_updates.py
@@ -45,7 +45,7 @@
 
 
 @define
-class MemberNews:
+class MemberUpdates:
     """Follow the members' descriptions and where news of them came from.
 
     Peers tell each other the keys of descriptions and ask for those that they lack. Told whole over
--- a/src/pomelobarrow/peers/plugin.py
+++ b/src/pomelobarrow/peers/plugin.py
@@ -18,7 +18,7 @@
 from pomelobarrow.kernel.hooks import PhasedService, StartPhase, StatusSection, hookimpl
 from pomelobarrow.operators.traces import Traces
 from pomelobarrow.peers import peers_pb2 as pb
-from pomelobarrow.peers.crash_news import CrashNews
+from pomelobarrow.peers.crash_updates import CrashUpdates
 from pomelobarrow.peers.exchange import Exchange
 from pomelobarrow.peers.forward_client import PeerForwarder
 from pomelobarrow.peers.forward_server import ForwardServer
@@ -43,7 +43,7 @@
     context.provide(RegionLoads, lambda _: RegionLoads(started_unix_s=now_unix_s()))
     context.provide(PeerKeys, lambda c: PeerKeys(c.settings.peers.keys))
     context.provide(Heartbeats, _heartbeats)
-    context.provide(CrashNews, _crash_news)
+    context.provide(CrashUpdates, _crash_updates)
     context.provide(Exchange, _exchange)
     context.provide(AcceptedStreams, lambda _: AcceptedStreams())
     context.provide(PeerTable, _table)
@@ -164,8 +164,8 @@
     )
 
 
-def _crash_news(context: Context) -> CrashNews:
-    return CrashNews(suspects=context.get(CrashSuspects), offsets=context.get(ClockOffsets))
+def _crash_updates(context: Context) -> CrashUpdates:
+    return CrashUpdates(suspects=context.get(CrashSuspects), offsets=context.get(ClockOffsets))
 
 
 def _exchange(context: Context) -> Exchange:
@@ -173,7 +173,7 @@
         view=context.get(MembershipView),
         published=context.get(PublishedState),
         heartbeats=context.get(Heartbeats),
-        crash_news=context.get(CrashNews),
+        crash_updates=context.get(CrashUpdates),
     )
 
 
@@ -206,7 +206,7 @@
         accepted=context.get(AcceptedStreams),
         observe=context.observe,
     )
-    context.get(CrashNews).broadcast = table.send_to_others
+    context.get(CrashUpdates).broadcast = table.send_to_others
     return table
 
 
--- a/src/pomelobarrow/peers/pool_news.py
+++ b/src/pomelobarrow/peers/pool_updates.py
@@ -44,7 +44,7 @@
 
 
 @define(kw_only=True)
-class PoolNews:
+class PoolUpdates:
     """Exchange waiting work inside the region and the pools' loads between regions."""
 
     own_region: str
--- a/src/pomelobarrow/peers/server_news.py
+++ b/src/pomelobarrow/peers/server_updates.py
@@ -30,7 +30,7 @@
 
 
 @define(kw_only=True)
-class ServerNews:
+class ServerUpdates:
     """Exchange counts in flight with neighbours; spread load reports over the region."""
 
     table: LoadTable
--- a/src/pomelobarrow/peers/time_news.py
+++ b/src/pomelobarrow/peers/service_time_updates.py
@@ -12,7 +12,7 @@
 
 
 @define
-class SentTimes:
+class SentServiceTimes:
     """Hold what one peer was told: by pool, how many samples, and when it may be told again."""
 
     samples: dict[str, int] = field(factory=dict)
@@ -21,12 +21,12 @@
 
 
 @define
-class TimeNews:
+class ServiceTimeUpdates:
     """Exchange the sums of learned times with the neighbours of the region."""
 
     table: LoadTable
 
-    def write(self, heartbeat: pb.Heartbeat, sent: SentTimes, now_unix_s: float) -> None:
+    def write(self, heartbeat: pb.Heartbeat, sent: SentServiceTimes, now_unix_s: float) -> None:
         """Add the pools of which this VM has seen more, or to which it sends prompts."""
         for pool, times in self.table.all_service_times():
             told = pb.PoolTimes(pool=pool)
--- a/src/pomelobarrow/peers/streams.py
+++ b/src/pomelobarrow/peers/streams.py
@@ -12,7 +12,7 @@
 from pomelobarrow.kernel.clock import now_unix_s
 from pomelobarrow.peers import peers_pb2 as pb
 from pomelobarrow.peers.exchange import Exchange
-from pomelobarrow.peers.heartbeats import Heartbeats, SentNews
+from pomelobarrow.peers.heartbeats import Heartbeats, SentUpdates
 
 # Both ends send a heartbeat each second. Three missing ones mean that the connection was
 # forgotten on its way or that the peer is gone; a new connection tells the two apart.
@@ -43,7 +43,7 @@
     last_heard_unix_s: float = 0.0
     on_up: Callable[[], None] = lambda: None
     _is_open: bool = False
-    _sent: SentNews = field(factory=SentNews)
+    _sent: SentUpdates = field(factory=SentUpdates)
     _outbox: "asyncio.Queue[pb.PeerMessage]" = field(factory=asyncio.Queue)
     _unsent: int = 0
 
@@ -53,7 +53,7 @@
             self._unsent += 1
             self._outbox.put_nowait(message)
 
-    def beat(self) -> None:
+    def send_heartbeat(self) -> None:
         """Send a heartbeat with what is new to the peer."""
         if not self._is_open:
             return
@@ -62,7 +62,7 @@
         heartbeat = self.heartbeats.full(self.peer.vm, is_near, self._sent)
         self.send(pb.PeerMessage(heartbeat=heartbeat))
         if is_first:
-            for message in self.exchange.crash_news.whole():
+            for message in self.exchange.crash_updates.whole():
                 self.send(message)
 
     async def say_closing(self) -> None:
@@ -80,7 +80,7 @@
     async def dialed(self, stream: Any) -> None:
         """Speak first, then converse until the stream ends; raise one of LOST where it is lost."""
         self._is_open = True
-        self.beat()
+        self.send_heartbeat()
         try:
             await self._converse(stream)
         finally:
@@ -138,7 +138,7 @@
         log.info("peer link up", peer=self.peer.vm, region=self.peer.region)
         # Whoever accepted the stream hears from its first message where the peer is.
         if self._sent.is_new:
-            self.beat()
+            self.send_heartbeat()
 
     def _note_peer(self, heartbeat: pb.Heartbeat) -> None:
         """Take the peer's own name and region; a seed has only an address until it says them."""
--- a/src/pomelobarrow/peers/table.py
+++ b/src/pomelobarrow/peers/table.py
@@ -14,12 +14,12 @@
 from pomelobarrow.decision.membership import MembershipView
 from pomelobarrow.kernel.clock import now_unix_s
 from pomelobarrow.peers import peers_pb2 as pb
-from pomelobarrow.peers.events import PauseNoticed
+from pomelobarrow.peers.events import ProcessPauseDetected
 from pomelobarrow.peers.exchange import Exchange
 from pomelobarrow.peers.grid import neighbours
 from pomelobarrow.peers.heartbeats import Heartbeats
 from pomelobarrow.peers.links import PeerLink
-from pomelobarrow.peers.live_changes import live_changes
+from pomelobarrow.peers.liveness_changes import liveness_changes
 from pomelobarrow.peers.streams import AcceptedStreams, PeerStream
 from pomelobarrow.published.keyspaces import VMS, PublishedState
 
@@ -66,7 +66,7 @@
         super().__init__()
         self.links: dict[str, PeerLink] = {}
         # Called after each review.
-        self.reviewed: list[Callable[[], None]] = []
+        self.review_listeners: list[Callable[[], None]] = []
         self._view = view
         self._published = published
         self._heartbeats = heartbeats
@@ -110,14 +110,14 @@
     async def _beat_all(self) -> None:
         while not self.should_stop:
             for stream in self._all_streams():
-                stream.beat()
+                stream.send_heartbeat()
             spread = self._random.uniform(1.0 - HEARTBEAT_SPREAD, 1.0 + HEARTBEAT_SPREAD)
             await asyncio.sleep(HEARTBEAT_EVERY_S * spread)
 
     async def review(self) -> None:
         """Open the links that are wanted and close the others."""
         now = now_unix_s()
-        for change in live_changes(self._view, now):
+        for change in liveness_changes(self._view, now):
             self._observe(change)
         self._name_seeds()
         # After a long cut all peers are forgotten; without the seeds nobody would be asked again.
@@ -133,7 +133,7 @@
             self._heartbeats.forget(vm)
         self._suspects = suspects
         self._forget_gone(now)
-        for listener in self.reviewed:
+        for listener in self.review_listeners:
             listener()
 
     def _forget_gone(self, now: float) -> None:
@@ -326,7 +326,7 @@
         self._view.observe_tick(now + self._pauses.longest_gap_s)
         if gap_s:
             self._view.observe_pause(now, gap_s)
-            self._observe(PauseNoticed(gap_s))
+            self._observe(ProcessPauseDetected(gap_s))
 
 
 def _partner(relays: tuple[Member, ...], place: int) -> tuple[Member, ...]:
--- a/src/pomelobarrow/published/plugin.py
+++ b/src/pomelobarrow/published/plugin.py
@@ -83,5 +83,5 @@
     watcher = PlatformWatcher(
         context, context.get(PublishedState), context.get(StoreReader), table.is_watcher
     )
-    table.reviewed.append(watcher.note_role)
+    table.review_listeners.append(watcher.note_role)
     return watcher
--- a/tests/test_crash_news.py
+++ b/tests/test_crash_updates.py
@@ -7,7 +7,7 @@
 from pomelobarrow.decision.crash_suspects import Crash, CrashSuspects, Suspicion
 from pomelobarrow.kernel.clock import now_unix_s
 from pomelobarrow.peers import peers_pb2 as pb
-from pomelobarrow.peers.crash_news import CrashNews
+from pomelobarrow.peers.crash_updates import CrashUpdates
 from pomelobarrow.peers.grid import neighbours
 
 REGIONS = 5
@@ -19,7 +19,7 @@
 class Fleet:
     """Hold a fleet's views and links, and deliver what is sent."""
 
-    views: dict[str, CrashNews] = field(factory=dict)
+    views: dict[str, CrashUpdates] = field(factory=dict)
     links: dict[str, set[str]] = field(factory=dict)
     sent: deque[tuple[str, str, pb.PeerMessage]] = field(factory=deque)
     bytes_by_vm: Counter[str] = field(factory=Counter)
@@ -28,7 +28,7 @@
         def broadcast(message: pb.PeerMessage, but_vm: str) -> None:
             self.sent.extend((vm, to, message) for to in self.links[vm] if to != but_vm)
 
-        self.views[vm] = CrashNews(suspects=CrashSuspects(own_vm=vm), broadcast=broadcast)
+        self.views[vm] = CrashUpdates(suspects=CrashSuspects(own_vm=vm), broadcast=broadcast)
 
     def deliver(self) -> None:
         while self.sent:
@@ -58,7 +58,7 @@
     return Crash(fingerprint=1, server_key=server_key, ended_unix_s=now_unix_s())
 
 
-def note(view: CrashNews, server_key: int) -> None:
+def note(view: CrashUpdates, server_key: int) -> None:
     view.tell(view.suspects.note(crash(server_key)))
 
 
@@ -93,7 +93,7 @@
 
 
 def test_vm_that_has_just_been_reached_is_told_everything() -> None:
-    knowing, starting = CrashNews(), CrashNews()
+    knowing, starting = CrashUpdates(), CrashUpdates()
     for key in range(3):
         note(knowing, key)
     for message in knowing.whole():
@@ -102,7 +102,7 @@
 
 
 def test_findings_of_no_possible_time_are_left_out() -> None:
-    view = CrashNews()
+    view = CrashUpdates()
     for sent_unix_s in (float("nan"), float("-inf"), 0.0):
         finding = pb.CrashFinding(fingerprint=1, server_key=1)
         view.take(pb.CrashFindings(sent_unix_s=sent_unix_s, findings=[finding]), "vm-1")
--- a/tests/test_demand_news.py
+++ b/tests/test_demand_updates.py
@@ -3,7 +3,7 @@
 from pomelobarrow.decision.configuration import Account, Configuration
 from pomelobarrow.decision.limits import AccountLimits
 from pomelobarrow.peers import peers_pb2 as pb
-from pomelobarrow.peers.demand_news import DemandNews, SentDemand
+from pomelobarrow.peers.demand_updates import DemandUpdates, SentDemand
 from pomelobarrow.peers.grid import LinkKind, Neighbours, neighbours
 
 LIMIT_PER_S = 10.0
@@ -21,7 +21,7 @@
     def __init__(self, name: str, region: str, region_vms: tuple[str, ...]) -> None:
         self.name, self.region = name, region
         self.limits = AccountLimits()
-        self.news = DemandNews(limits=self.limits, configuration=lambda: CONFIGURATION)
+        self.news = DemandUpdates(limits=self.limits, configuration=lambda: CONFIGURATION)
         self.neighbours: Neighbours = neighbours(name, region_vms)
         self.limits.set_region_vms(len(region_vms))
         self.sent: dict[str, SentDemand] = {}
--- a/tests/test_forward_book.py
+++ b/tests/test_forward_registry.py
@@ -2,7 +2,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from pomelobarrow.peers.forward_book import SEEN_KEPT_S, ForwardBook, ForwardKey
+from pomelobarrow.peers.forward_registry import SEEN_KEPT_S, ForwardKey, ForwardRegistry
 
 KEYS = st.builds(ForwardKey, st.sampled_from(["vm-1", "vm-2"]), st.just(1), st.integers(0, 5))
 DEADLINE_S = 1_000.0
@@ -17,7 +17,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.book = ForwardBook()
+        self.book = ForwardRegistry()
         self.now_unix_s = 0.0
         self.ran: set[ForwardKey] = set()
         self.told_unrun: set[ForwardKey] = set()
@@ -54,7 +54,7 @@
 
 
 def test_forward_that_ended_unrun_is_told_so_and_barred() -> None:
-    book, key = ForwardBook(), ForwardKey("vm-1", 1, 1)
+    book, key = ForwardRegistry(), ForwardKey("vm-1", 1, 1)
     book.note_seen(key, 0.0)
     assert not book.cancel(key, DEADLINE_S, 1.0)
     book.note_unrun(key, DEADLINE_S, 2.0)
@@ -63,7 +63,7 @@
 
 
 def test_what_was_seen_is_forgotten_in_time() -> None:
-    book = ForwardBook()
+    book = ForwardRegistry()
     for serial in range(1_000):
         book.note_seen(ForwardKey("vm-1", 1, serial), serial)
     assert len(book) <= SEEN_KEPT_S + 1
--- a/tests/test_live_changes.py
+++ b/tests/test_liveness_changes.py
@@ -2,7 +2,7 @@
 
 from pomelobarrow.decision.member import Member
 from pomelobarrow.decision.membership import MembershipView
-from pomelobarrow.peers.live_changes import live_changes
+from pomelobarrow.peers.liveness_changes import liveness_changes
 
 
 def test_silence_and_return_are_reported_once_with_their_evidence() -> None:
@@ -10,19 +10,19 @@
     for second in range(10):
         heard = Member(vm="vm-b", incarnation=7, region="milan", sequence=second + 1)
         view.observe_heartbeat(heard, 100.0 + second)
-    [first] = live_changes(view, 109.0)
+    [first] = liveness_changes(view, 109.0)
     assert (first.member, first.is_live, first.told_by) == ("vm-b", True, "")
-    assert live_changes(view, 110.0) == []
+    assert liveness_changes(view, 110.0) == []
 
-    [silent] = live_changes(view, 115.0)
+    [silent] = liveness_changes(view, 115.0)
     assert not silent.is_live
     assert (silent.incarnation, silent.heard_age_s) == (7, 6.0)
     assert 2.5 <= silent.allowed_silence_s < 6.0
-    assert live_changes(view, 116.0) == []
+    assert liveness_changes(view, 116.0) == []
 
     word = Member(vm="vm-b", incarnation=7, region="milan", heard_unix_s=116.0)
     view.observe_summary(word, 116.5, "vm-c")
-    [back] = live_changes(view, 116.5)
+    [back] = liveness_changes(view, 116.5)
     assert (back.is_live, back.told_by, back.heard_age_s) == (True, "vm-c", 0.5)
 
 
@@ -30,4 +30,4 @@
     view = MembershipView("vm-a", "milan")
     word = Member(vm="vm-b", incarnation=7, region="milan", heard_unix_s=100.0)
     view.observe_summary(word, 200.0, "vm-c")
-    assert live_changes(view, 200.0) == []
+    assert liveness_changes(view, 200.0) == []
--- a/tests/test_member_news.py
+++ b/tests/test_member_updates.py
@@ -5,7 +5,7 @@
 from pomelobarrow.decision.membership import MembershipView
 from pomelobarrow.peers import peers_pb2 as pb
 from pomelobarrow.peers.grid import LinkKind, Neighbours
-from pomelobarrow.peers.member_news import MemberNews, SentMembers
+from pomelobarrow.peers.member_updates import MemberUpdates, SentMembers
 
 NOW_UNIX_S = 1_000.0
 HEARD_AGO_S = 9.0
@@ -27,7 +27,7 @@
 def take(view: MembershipView, heartbeat: pb.Heartbeat) -> None:
     """Take in a heartbeat of a peer whose clock's offset isn't known yet."""
     sent_unix_s = ClockOffsets().sent_unix_s("vm-c", heartbeat.sent_unix_s, NOW_UNIX_S)
-    MemberNews(view).take(
+    MemberUpdates(view).take(
         heartbeat,
         SentMembers(),
         LinkKind.OTHER_REGION,
@@ -74,7 +74,7 @@
 
     def __init__(self, vm: str, members: int) -> None:
         self.view = MembershipView(vm, "milan")
-        self.news, self.sent = MemberNews(self.view), SentMembers()
+        self.news, self.sent = MemberUpdates(self.view), SentMembers()
         self.streams: dict[str, SentMembers] = {}
         for number in range(members):
             told = Member(vm=f"vm-{number:03d}", incarnation=1, region="milan", heard_unix_s=999.0)
--- a/tests/test_server_incarnations.py
+++ b/tests/test_server_incarnations.py
@@ -6,7 +6,7 @@
 from pomelobarrow.decision.work import BackendServer, InFlight, LoadReport
 from pomelobarrow.peers import peers_pb2 as pb
 from pomelobarrow.peers.grid import LinkKind
-from pomelobarrow.peers.server_news import SentServers, ServerNews
+from pomelobarrow.peers.server_updates import SentServers, ServerUpdates
 from pomelobarrow.published.vms import VmList
 from pomelobarrow.relay.judging import ServerJudge
 from pomelobarrow.relay.messages import AttemptEnd, AttemptReport
@@ -46,17 +46,17 @@
     return table.usable("p", now_unix_s)[0].requests
 
 
-def news(table: LoadTable, server: BackendServer) -> ServerNews:
-    return ServerNews(table=table, servers=lambda: {server.name: server}, own_reports=lambda: ())
+def news(table: LoadTable, server: BackendServer) -> ServerUpdates:
+    return ServerUpdates(table=table, servers=lambda: {server.name: server}, own_reports=lambda: ())
 
 
-def heartbeat_of(sender: ServerNews, sent: SentServers | None = None) -> pb.Heartbeat:
+def heartbeat_of(sender: ServerUpdates, sent: SentServers | None = None) -> pb.Heartbeat:
     heartbeat = pb.Heartbeat(vm="vm-b", is_whole=sent is None)
     sender.write(heartbeat, sent or SentServers(), LinkKind.ROW, 10.0)
     return heartbeat
 
 
-def take(receiver: ServerNews, heartbeat: pb.Heartbeat) -> None:
+def take(receiver: ServerUpdates, heartbeat: pb.Heartbeat) -> None:
     receiver.take(heartbeat, LinkKind.ROW, 10.0, float)
 
 
@@ -133,7 +133,7 @@
     """One request was in flight before the restart and one is after it."""
     servers = {"s1": FIRST}
     sender_table, receiver_table = table_of(FIRST), table_of(SECOND)
-    sender = ServerNews(table=sender_table, servers=lambda: servers, own_reports=lambda: ())
+    sender = ServerUpdates(table=sender_table, servers=lambda: servers, own_reports=lambda: ())
     receiver = news(receiver_table, SECOND)
     sent = SentServers()
     sender_table.charge("r1", "s1", 500, 1.0)
--- a/tests/test_server_limit_shares.py
+++ b/tests/test_server_limit_shares.py
@@ -13,7 +13,7 @@
 from pomelobarrow.decision.server_limits import LEAST_PER_S, ServerLimits, parse_limit
 from pomelobarrow.peers import peers_pb2 as pb
 from pomelobarrow.peers.grid import LinkKind
-from pomelobarrow.peers.server_news import SentServers, ServerNews
+from pomelobarrow.peers.server_updates import SentServers, ServerUpdates
 
 WINDOW_S = 4.0
 TICK_S = 0.01
@@ -166,8 +166,8 @@
     assert list(heartbeat.limits) == []
 
 
-def _news_of(table: object) -> ServerNews:
-    return ServerNews(
+def _news_of(table: object) -> ServerUpdates:
+    return ServerUpdates(
         table=table,  # type: ignore[arg-type]
         servers=lambda: {SERVER.name: SERVER},
         own_reports=list,
--- a/tests/test_time_news.py
+++ b/tests/test_service_time_updates.py
@@ -4,41 +4,45 @@
 from work_builders import POOL, table_of
 
 from pomelobarrow.peers import peers_pb2 as pb
-from pomelobarrow.peers.time_news import TOLD_EVERY_S, SentTimes, TimeNews
+from pomelobarrow.peers.service_time_updates import (
+    TOLD_EVERY_S,
+    SentServiceTimes,
+    ServiceTimeUpdates,
+)
 
 NOW_UNIX_S = 1_000.0
 
 
 @pytest.fixture
-def teller() -> TimeNews:
+def teller() -> ServiceTimeUpdates:
     table = table_of(1)
     table.service_times(POOL).observe_start(10_000, 0.1)
-    return TimeNews(table)
+    return ServiceTimeUpdates(table)
 
 
-def told(teller: TimeNews, sent: SentTimes, now_unix_s: float) -> pb.Heartbeat:
+def told(teller: ServiceTimeUpdates, sent: SentServiceTimes, now_unix_s: float) -> pb.Heartbeat:
     heartbeat = pb.Heartbeat(vm="vm-1")
     teller.write(heartbeat, sent, now_unix_s)
     return heartbeat
 
 
-def test_a_neighbour_takes_over_what_was_seen(teller: TimeNews) -> None:
-    hearer = TimeNews(table_of(1))
-    hearer.take(told(teller, SentTimes(), NOW_UNIX_S), NOW_UNIX_S)
+def test_a_neighbour_takes_over_what_was_seen(teller: ServiceTimeUpdates) -> None:
+    hearer = ServiceTimeUpdates(table_of(1))
+    hearer.take(told(teller, SentServiceTimes(), NOW_UNIX_S), NOW_UNIX_S)
 
     heard = hearer.table.service_times(POOL).s_per_prefill_token
     assert heard == pytest.approx(1e-5, rel=0.05)
 
 
-def test_nothing_new_is_not_told_again(teller: TimeNews) -> None:
-    sent = SentTimes()
+def test_nothing_new_is_not_told_again(teller: ServiceTimeUpdates) -> None:
+    sent = SentServiceTimes()
     told(teller, sent, NOW_UNIX_S)
 
     assert not told(teller, sent, NOW_UNIX_S + TOLD_EVERY_S).times
 
 
-def test_news_waits_until_the_peer_may_be_told_again(teller: TimeNews) -> None:
-    sent = SentTimes()
+def test_news_waits_until_the_peer_may_be_told_again(teller: ServiceTimeUpdates) -> None:
+    sent = SentServiceTimes()
     told(teller, sent, NOW_UNIX_S)
     teller.table.service_times(POOL).observe_finish(1.0)
 
@@ -46,10 +50,10 @@
     assert told(teller, sent, NOW_UNIX_S + TOLD_EVERY_S).times
 
 
-def test_pools_without_servers_here_are_left_out(teller: TimeNews) -> None:
-    heartbeat = told(teller, SentTimes(), NOW_UNIX_S)
+def test_pools_without_servers_here_are_left_out(teller: ServiceTimeUpdates) -> None:
+    heartbeat = told(teller, SentServiceTimes(), NOW_UNIX_S)
     heartbeat.times[0].pool = "elsewhere"
-    hearer = TimeNews(table_of(1))
+    hearer = ServiceTimeUpdates(table_of(1))
     hearer.take(heartbeat, NOW_UNIX_S)
 
     assert [pool for pool, _ in hearer.table.all_service_times()] == []
