--- a/src/pomelobarrow/peers/__init__.py
+++ b/src/pomelobarrow/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Between entry VMs: heartbeats, configuration relay, forwarding and hand-over."""
+"""Communication between entry VMs: heartbeats, configuration, forwarding and hand-over."""
--- a/src/pomelobarrow/peers/crash_updates.py
+++ b/src/pomelobarrow/peers/crash_updates.py
@@ -1,4 +1,4 @@
-"""Spread crashes under requests, and answers that clear them, to all VMs at once."""
+"""Broadcast which requests crashed servers, and which answers cleared them, to all VMs."""
 
 from collections.abc import Callable, Iterable, Iterator
 from itertools import islice
@@ -9,54 +9,57 @@
 from pomelobarrow.decision.crash_suspects import KEPT_S, Answered, Crash, CrashSuspects, Finding
 from pomelobarrow.kernel.clock import now_unix_s
 from pomelobarrow.peers import peers_pb2 as pb
-from pomelobarrow.peers.ages import age_ms, time_of
+from pomelobarrow.peers.ages import age_ms, unix_s_from_age
 
 FINDINGS_PER_MESSAGE = 500
 
-# Send a message to every peer but one.
+# Sends a message to every peer except the named one.
 Broadcast = Callable[[pb.PeerMessage, str], None]
 
 
 @define(kw_only=True)
 class CrashUpdates:
-    """Hold what is told: a new stream gets all of it, open ones each finding as it comes.
+    """Exchange crash findings: a new stream gets all of them, open streams each one as it arrives.
 
-    A heartbeat a hop would be too late between regions. A VM passes on what was new to it, to all
-    but the peer that told it, so that each finding crosses each stream once or twice.
+    Findings aren't part of heartbeats, because one heartbeat interval per hop would be too slow
+    between regions. A VM passes findings that are new to it on to all peers except the sender, so
+    that each finding crosses each stream once or twice.
     """
 
     suspects: CrashSuspects = field(factory=CrashSuspects)
     offsets: ClockOffsets = field(factory=ClockOffsets)
-    broadcast: Broadcast = lambda message, but_vm: None
+    broadcast: Broadcast = lambda message, except_vm: None
 
-    def tell(self, findings: Iterable[Finding], but_vm: str = "") -> None:
-        """Tell all peers but one."""
+    def tell(self, findings: Iterable[Finding], except_vm: str = "") -> None:
+        """Send findings to all peers except one."""
         for message in _messages(findings):
-            self.broadcast(message, but_vm)
+            self.broadcast(message, except_vm)
 
-    def whole(self) -> Iterator[pb.PeerMessage]:
-        """Return what a peer is told that has just been reached."""
+    def all_messages(self) -> Iterator[pb.PeerMessage]:
+        """Return the messages with all findings, for a newly connected peer."""
         return _messages(self.suspects.crashes())
 
-    def take(self, told: pb.CrashFindings, peer_vm: str) -> None:
-        """Take in what a peer tells and pass on what is new."""
+    def take(self, message: pb.CrashFindings, peer_vm: str) -> None:
+        """Record the findings of a peer and pass on those that are new."""
         now = now_unix_s()
-        sent_unix_s = self.offsets.sent_unix_s(peer_vm, told.sent_unix_s, now)
-        news: list[Finding] = []
-        for each in told.findings:
-            unix_s = time_of(each.age_ms, sent_unix_s)
-            # False for a time that is no number, too.
+        sent_unix_s = self.offsets.sent_unix_s(peer_vm, message.sent_unix_s, now)
+        new_findings: list[Finding] = []
+        for each in message.findings:
+            unix_s = unix_s_from_age(each.age_ms, sent_unix_s)
+            # Also false for NaN.
             if now - KEPT_S < unix_s <= now:
-                news += self.suspects.note(_finding(each, unix_s))
-        self.tell(news, peer_vm)
+                new_findings += self.suspects.note(_finding(each, unix_s))
+        self.tell(new_findings, peer_vm)
 
 
 def _messages(findings: Iterable[Finding]) -> Iterator[pb.PeerMessage]:
     left = iter(findings)
     while batch := list(islice(left, FINDINGS_PER_MESSAGE)):
         now = now_unix_s()
-        told = pb.CrashFindings(sent_unix_s=now, findings=[_message(each, now) for each in batch])
-        yield pb.PeerMessage(crash_findings=told)
+        message = pb.CrashFindings(
+            sent_unix_s=now, findings=[_message(each, now) for each in batch]
+        )
+        yield pb.PeerMessage(crash_findings=message)
 
 
 def _message(finding: Finding, now_unix_s: float) -> pb.CrashFinding:
--- a/src/pomelobarrow/peers/demand_updates.py
+++ b/src/pomelobarrow/peers/demand_updates.py
@@ -1,4 +1,4 @@
-"""Tell a peer which accounts' demand changed, and take in what it tells."""
+"""Exchange changes of the accounts' request rates with peers."""
 
 from collections.abc import Callable, Iterable
 
@@ -10,33 +10,33 @@
 from pomelobarrow.peers import peers_pb2 as pb
 from pomelobarrow.peers.grid import LinkKind, Neighbours
 
-# A rate is told again when it moved by this share; limits need no more.
-CHANGE_TOLD = 0.25
-SMALLEST_TOLD_PER_S = 0.02
-# In a large region each heartbeat carries the demand of whole rows.
-SPARSE_EVERY_BEATS = 5
+# A rate is sent again once it has changed by this share; the limits need no higher accuracy.
+MIN_RELATIVE_CHANGE = 0.25
+MIN_SENT_PER_S = 0.02
+# In a large region each demand update carries the rates of whole rows, so fewer are sent.
+SPARSE_EVERY_HEARTBEATS = 5
 
 
 @define
 class SentDemand:
-    """Hold what one peer was told of accounts."""
+    """Record the rates that were sent to one peer, by account key."""
 
     rate_by_key: dict[int, float] = field(factory=dict)
-    beats: int = 0
+    heartbeats_written: int = 0
 
 
 @define(kw_only=True)
 class DemandUpdates:
     """Exchange demand: a VM's own along its row, the sum of its row along its column.
 
-    Other regions are told the region's sum. Without it each region would admit the whole of an
-    account's limit: callers who moved from region to region got it once in each.
+    Other regions get the region's sum. Without it, each region would admit an account's whole
+    limit, and callers that switch between regions would get the limit once in each.
     """
 
     limits: AccountLimits
     configuration: Callable[[], Configuration | None]
     _rates: dict[str, dict[int, float]] = field(factory=dict)
-    _named: Configuration | None = None
+    _keyed_configuration: Configuration | None = None
     _name_by_key: dict[int, str] = field(factory=dict)
 
     def write(
@@ -47,22 +47,22 @@
         neighbours: Neighbours,
         now_unix_s: float,
     ) -> None:
-        """Add the rates that moved."""
-        sent.beats += 1
-        if neighbours.is_sparse and sent.beats % SPARSE_EVERY_BEATS != 1:
+        """Add the rates that have changed."""
+        sent.heartbeats_written += 1
+        if neighbours.is_sparse and sent.heartbeats_written % SPARSE_EVERY_HEARTBEATS != 1:
             return
         rates = {account_key(n): rate for n, rate in self.limits.demand(now_unix_s).items()}
-        self._add(rates, _summed_up(kind, neighbours))
+        self._add_rates_of(rates, _vms_summed_for(kind, neighbours))
         for key in sent.rate_by_key.keys() | rates.keys():
             rate = rates.get(key, 0.0)
-            rate = rate if rate >= SMALLEST_TOLD_PER_S else 0.0
-            if _has_moved(sent.rate_by_key.get(key, 0.0), rate):
+            rate = rate if rate >= MIN_SENT_PER_S else 0.0
+            if _has_changed(sent.rate_by_key.get(key, 0.0), rate):
                 heartbeat.account_keys.append(key)
                 heartbeat.account_rates.append(rate)
                 sent.rate_by_key[key] = rate
 
     def take(self, heartbeat: pb.Heartbeat, kind: LinkKind, now_unix_s: float) -> None:
-        """Take in a peer's demand: its own, its row's or its region's."""
+        """Apply a peer's demand: its own, that of its row or that of its region."""
         rates = self._rates.setdefault(heartbeat.vm, {})
         if heartbeat.is_whole:
             rates.clear()
@@ -76,33 +76,33 @@
             self.limits.observe_peer_demand(heartbeat.vm, by_name, now_unix_s)
 
     def forget(self, vm: str) -> None:
-        """Drop what a peer told."""
+        """Drop the rates received from a peer."""
         self._rates.pop(vm, None)
 
-    def _add(self, rates: dict[int, float], vms: Iterable[str]) -> None:
+    def _add_rates_of(self, rates: dict[int, float], vms: Iterable[str]) -> None:
         for vm in vms:
             for key, rate in self._rates.get(vm, {}).items():
                 rates[key] = rates.get(key, 0.0) + rate
 
     def _names(self) -> dict[int, str]:
         configuration = self.configuration()
-        if configuration is not None and configuration is not self._named:
-            self._named = configuration
+        if configuration is not None and configuration is not self._keyed_configuration:
+            self._keyed_configuration = configuration
             self._name_by_key = {account_key(name): name for name in configuration.accounts}
         return self._name_by_key
 
 
 def account_key(name: str) -> int:
-    """Return the four bytes that stand for an account in heartbeats."""
+    """Return the four-byte key that identifies an account in heartbeats."""
     return short_key(name)
 
 
-def _summed_up(kind: LinkKind, neighbours: Neighbours) -> frozenset[str]:
-    """Return whose demand goes with a VM's own over a kind of link."""
+def _vms_summed_for(kind: LinkKind, neighbours: Neighbours) -> frozenset[str]:
+    """Return the VMs whose demand is added to the own one on a kind of link."""
     return {LinkKind.COLUMN: neighbours.row, LinkKind.OTHER_REGION: neighbours.all}.get(
         kind, frozenset()
     )
 
 
-def _has_moved(old: float, new: float) -> bool:
-    return abs(new - old) > CHANGE_TOLD * max(old, new)
+def _has_changed(old: float, new: float) -> bool:
+    return abs(new - old) > MIN_RELATIVE_CHANGE * max(old, new)
--- a/src/pomelobarrow/peers/events.py
+++ b/src/pomelobarrow/peers/events.py
@@ -5,20 +5,20 @@
 
 @frozen
 class ProcessPauseDetected:
-    """Report that this process stood still."""
+    """Report that this process was paused, and for how long."""
 
     gap_s: float
 
 
 @frozen(kw_only=True)
 class MemberLivenessChanged:
-    """Report that a member counts as silent from now on, or as live again."""
+    """Report that a member now counts as silent, or as live again."""
 
     member: str
     incarnation: int
     phase: str
     is_live: bool
-    # The peer whose word decided, empty where the member was heard itself.
+    # The peer whose report decided; empty if the member was heard directly.
     told_by: str
     heard_age_s: float
     allowed_silence_s: float
@@ -26,6 +26,6 @@
 
 @frozen
 class PeerRefused:
-    """Report a call that no peer key vouches for."""
+    """Report a call that no configured peer key authenticates."""
 
     path: str
--- a/src/pomelobarrow/peers/exchange.py
+++ b/src/pomelobarrow/peers/exchange.py
@@ -1,4 +1,4 @@
-"""Handle the messages of an exchange stream, the same way at both of its ends."""
+"""Handle the messages of an exchange stream, in the same way at both ends."""
 
 from collections.abc import Callable, Iterable
 from functools import partial
@@ -17,9 +17,9 @@
 from pomelobarrow.published.keyspaces import PublishedState
 from pomelobarrow.published.watcher import SOURCE_PLATFORM
 
-# One pull at a time: after a change all peers of a region know it, and asking each of them for
-# it would multiply the bytes by the size of the region.
-PULL_PAUSE_S = 1.0
+# Limits pulls to one at a time per keyspace. All peers of a region announce a change, and a pull
+# from each of them would multiply the bytes by the size of the region.
+PULL_INTERVAL_S = 1.0
 SOURCE_PEER = "peer "
 
 log = structlog.get_logger(__name__)
@@ -28,21 +28,21 @@
 
 @define(kw_only=True)
 class Exchange:
-    """Hold what the exchange with all peers has shown."""
+    """Apply the messages of all peers, and track which keyspace revisions each peer holds."""
 
     view: MembershipView
     published: PublishedState
     heartbeats: Heartbeats
     crash_updates: CrashUpdates = field(factory=CrashUpdates)
     _next_pull_unix_s: dict[str, float] = field(factory=dict)
-    _gapped: set[str] = field(factory=set)
-    # Per peer and keyspace, what its last heartbeat or our last push says that it holds.
+    _keyspaces_with_gap: set[str] = field(factory=set)
+    # The revision that each peer holds, by its last heartbeat or our last push to it.
     _peer_copies: dict[str, dict[str, KeyspaceSummary]] = field(factory=dict)
 
     def handle(
         self, message: pb.PeerMessage, peer_vm: str, reply: Reply, sent: SentUpdates | None = None
     ) -> None:
-        """Take one message and answer through reply where it asks for something."""
+        """Apply one message and send the answer, if it needs one, through reply."""
         kind = message.WhichOneof("kind")
         handlers: dict[str, Callable[[Any, str, Reply], None]] = {
             "heartbeat": partial(self._on_heartbeat, sent=sent),
@@ -57,19 +57,20 @@
         handler = handlers.get(kind or "")
         if handler is None:
             return
-        # Raised further, it would end the link's service and with it this daemon, and the next
-        # link would bring the same message again. Nothing is applied before all of it is read.
+        # An unhandled error would end the link's service and with it this daemon, and the next
+        # link would deliver the same message again. A message is parsed in full before any of it is
+        # applied.
         try:
             handler(getattr(message, kind), peer_vm, reply)
         except orjson.JSONDecodeError as error:
-            log.warning("message left out", peer=peer_vm, kind=kind, error=str(error))
+            log.warning("malformed peer message ignored", peer=peer_vm, kind=kind, error=str(error))
 
     def forget(self, peer_vm: str) -> None:
-        """Drop what a peer said that left for good."""
+        """Drop the recorded revisions of a peer that left for good."""
         self._peer_copies.pop(peer_vm, None)
 
-    def fresh_delta_for(self, name: str, peer_vm: str) -> pb.PeerMessage | None:
-        """Return the change that a peer has not said to have, for pushing it at once."""
+    def unsent_delta_for(self, name: str, peer_vm: str) -> pb.PeerMessage | None:
+        """Return the changes that a peer isn't known to hold, for an immediate push."""
         copy = self.published.copies[name]
         summaries = self._peer_copies.get(peer_vm, {})
         known = summaries.get(name)
@@ -82,7 +83,7 @@
         self, heartbeat: pb.Heartbeat, peer_vm: str, reply: Reply, sent: SentUpdates | None
     ) -> None:
         is_newest = self.heartbeats.take(heartbeat, sent)
-        # One that another stream's has overtaken may be the only one to tell of a member.
+        # A heartbeat overtaken by one of another stream may be the only one that names a member.
         if (question := self.heartbeats.missing_members_request(heartbeat, sent)) is not None:
             reply(question)
         if not is_newest:
@@ -101,7 +102,7 @@
             after, in_force = copy.revision, True
         if after is None or now < self._next_pull_unix_s.get(summary.name, 0.0):
             return
-        self._next_pull_unix_s[summary.name] = now + PULL_PAUSE_S
+        self._next_pull_unix_s[summary.name] = now + PULL_INTERVAL_S
         reply(_request_message(summary.name, after, in_force))
 
     def _on_delta(self, delta: pb.KeyspaceDelta, peer_vm: str, reply: Reply) -> None:
@@ -109,7 +110,7 @@
             return
         self._next_pull_unix_s.pop(delta.name, None)
         if delta.in_force:
-            self._take_in_force(_delta(delta), peer_vm, reply)
+            self._apply_in_force(_delta(delta), peer_vm, reply)
             return
         result = self.published.apply(
             delta.name,
@@ -121,23 +122,23 @@
         if result.outcome is ApplyOutcome.GAP:
             self._fill_gap(delta.name, reply)
         else:
-            self._gapped.discard(delta.name)
+            self._keyspaces_with_gap.discard(delta.name)
 
-    def _take_in_force(self, delta: Delta, peer_vm: str, reply: Reply) -> None:
+    def _apply_in_force(self, delta: Delta, peer_vm: str, reply: Reply) -> None:
         result = self.published.apply_in_force(delta, SOURCE_PEER + peer_vm)
         if result.outcome is ApplyOutcome.GAP:
             reply(_request_message(delta.name, 0, in_force=True))
 
     def _fill_gap(self, name: str, reply: Reply) -> None:
-        """Ask from where this copy stands; start over when even that answer starts too late.
+        """Request the changes after this copy's revision; after a second gap, start over.
 
-        A push can overtake a lost one, which the first question heals. A second gap means that
+        A push can overtake a lost one, which the first request repairs. A second gap means that
         the peer no longer knows which keys were deleted in between.
         """
         copy = self.published.copies[name]
-        if name in self._gapped:
+        if name in self._keyspaces_with_gap:
             copy.restart()
-        self._gapped.add(name)
+        self._keyspaces_with_gap.add(name)
         reply(_request_message(name, copy.observed_revision))
 
     def _on_request(self, request: pb.KeyspaceRequest, peer_vm: str, reply: Reply) -> None:
@@ -158,32 +159,32 @@
             reply(answer)
 
     def _on_member_descriptions(
-        self, told: pb.MemberDescriptions, peer_vm: str, reply: Reply, sent: SentUpdates | None
+        self, message: pb.MemberDescriptions, peer_vm: str, reply: Reply, sent: SentUpdates | None
     ) -> None:
-        self.heartbeats.receive_members(told, peer_vm, sent)
+        self.heartbeats.receive_members(message, peer_vm, sent)
 
-    def _on_crash_findings(self, told: pb.CrashFindings, peer_vm: str, reply: Reply) -> None:
-        self.crash_updates.take(told, peer_vm)
+    def _on_crash_findings(self, message: pb.CrashFindings, peer_vm: str, reply: Reply) -> None:
+        self.crash_updates.take(message, peer_vm)
 
     def _on_closing(self, closing: pb.Closing, peer_vm: str, reply: Reply) -> None:
         self.view.observe_unlinked(peer_vm, now_unix_s())
 
     def is_behind(self, reachable: Iterable[str]) -> bool:
-        """Tell whether a reachable peer has said to hold a higher revision than this VM."""
+        """Return whether a reachable peer has announced a higher revision than this VM holds."""
         summaries = (self._peer_copies.get(vm, {}).values() for vm in reachable)
-        return any(self._lacks(summary) for held in summaries for summary in held)
+        return any(self._is_behind_summary(summary) for held in summaries for summary in held)
 
-    def _lacks(self, summary: KeyspaceSummary) -> bool:
+    def _is_behind_summary(self, summary: KeyspaceSummary) -> bool:
         copy = self.published.copies[summary.name]
         is_behind = summary.revision > copy.observed_revision
         return is_behind or summary.revision_in_force > copy.revision
 
-    def passes_on(self, source: str, to_region: str) -> bool:
-        """Tell whether a change from a source is pushed on to a linked peer of a region.
+    def pushes_change_to(self, source: str, to_region: str) -> bool:
+        """Return whether a change from a source is pushed on to a linked peer of a region.
 
-        Whoever had it from the platform or from elsewhere tells its own region, whose VMs need
-        not tell each other again. A link to another region always gets it: the VM that read the
-        platform may hold no such link itself.
+        The VM that got a change from the platform or another region pushes it to its own region;
+        the other VMs there need not push it to each other again. Links to other regions always
+        get it, because the VM that read the platform may have no such link.
         """
         own_region = self.view.own_region
         if source == SOURCE_PLATFORM or to_region != own_region:
--- a/src/pomelobarrow/peers/forward_cancel.py
+++ b/src/pomelobarrow/peers/forward_cancel.py
@@ -1,11 +1,11 @@
-"""Tell a peer to drop a forward."""
+"""Cancel a forward at the peer that it was sent to."""
 
 import asyncio
 
 from grpclib.client import Channel
 
 from pomelobarrow.peers import peers_pb2 as pb
-from pomelobarrow.peers.calls import LOST, take_back_cancels
+from pomelobarrow.peers.calls import CONNECTION_ERRORS, undo_grpclib_cancellations
 from pomelobarrow.peers.keys import PeerKeys
 from pomelobarrow.peers.links import PeerLink
 from pomelobarrow.peers.peers_grpc import PeerStub
@@ -16,33 +16,35 @@
 
 
 async def cancel_forward(link: PeerLink, keys: PeerKeys, message: pb.CancelRequest) -> str:
-    """Ask on the open connection and on a new one; return what became of the request.
+    """Cancel over the open connection and over a new one; return the outcome of the request.
 
-    The open one may have gone silent, and the new one takes two round trips more. The first clear
-    answer counts.
+    The open connection may have stopped responding, and the new one costs two more round trips. The
+    first answer other than "unknown" counts.
     """
-    new = link.open_channel()
-    channels = [new, link.channel] if link.is_up and link.channel is not None else [new]
-    asking = [asyncio.create_task(_ask(channel, keys, message)) for channel in channels]
+    new_channel = link.open_channel()
+    channels = (
+        [new_channel, link.channel] if link.is_up and link.channel is not None else [new_channel]
+    )
+    tasks = [asyncio.create_task(_send_cancel(channel, keys, message)) for channel in channels]
     try:
-        for answer in asyncio.as_completed(asking):
+        for answer in asyncio.as_completed(tasks):
             outcome = await answer
             if outcome != UNKNOWN:
                 return outcome
         return UNKNOWN
     finally:
-        for task in asking:
+        for task in tasks:
             task.cancel()
-        await asyncio.gather(*asking, return_exceptions=True)
-        new.close()
+        await asyncio.gather(*tasks, return_exceptions=True)
+        new_channel.close()
 
 
-async def _ask(channel: Channel, keys: PeerKeys, message: pb.CancelRequest) -> str:
+async def _send_cancel(channel: Channel, keys: PeerKeys, message: pb.CancelRequest) -> str:
     metadata = keys.metadata(message.forwarded_by, CANCEL_PATH)
     try:
-        with take_back_cancels():
+        with undo_grpclib_cancellations():
             async with asyncio.timeout(CANCEL_TIMEOUT_S):
                 reply = await PeerStub(channel).Cancel(message, metadata=metadata)
                 return str(reply.outcome)
-    except (*LOST, AttributeError):
+    except (*CONNECTION_ERRORS, AttributeError):
         return UNKNOWN
--- a/src/pomelobarrow/peers/forward_client.py
+++ b/src/pomelobarrow/peers/forward_client.py
@@ -1,4 +1,4 @@
-"""Pass a request on to one peer and relay its answer."""
+"""Forward a request to one peer and relay its answer."""
 
 import asyncio
 import itertools
@@ -22,9 +22,9 @@
 from pomelobarrow.kernel.clock import now_unix_s
 from pomelobarrow.operators.traces import Traces
 from pomelobarrow.peers import peers_pb2 as pb
-from pomelobarrow.peers.calls import LOST, start_call, take_back_cancels
+from pomelobarrow.peers.calls import CONNECTION_ERRORS, start_call, undo_grpclib_cancellations
 from pomelobarrow.peers.forward_cancel import CANCEL_TIMEOUT_S, cancel_forward
-from pomelobarrow.peers.forward_resume import Relayed, RestOfForward
+from pomelobarrow.peers.forward_resume import ForwardResumption, RelayProgress
 from pomelobarrow.peers.keys import PeerKeys
 from pomelobarrow.peers.links import PeerLink
 from pomelobarrow.peers.peers_grpc import PeerStub
@@ -32,13 +32,14 @@
 from pomelobarrow.peers.table import PeerTable
 
 FORWARD_PATH = "/pomelobarrow.peers.v1.Peer/Forward"
-# Past its deadline the caller waits no longer for the peer's word: two round trips between regions.
-LAST_WORD_S = 0.3
+# How long a cancelled forward's outcome is awaited after the deadline: two round trips between
+# regions.
+FINAL_ANSWER_TIMEOUT_S = 0.3
 
 
 @define(kw_only=True)
 class PeerForwarder:
-    """Hold what forwarding needs of the peers."""
+    """Choose peers and forward requests to them."""
 
     own: Member
     view: MembershipView
@@ -50,11 +51,11 @@
     _serials: "itertools.count[int]" = field(factory=itertools.count)
 
     def next_serial(self) -> int:
-        """Count one more forward."""
+        """Return the serial of the next forward."""
         return next(self._serials)
 
     def region_loads(self, work: Work) -> Mapping[str, RegionLoad]:
-        """Return what is known of the other regions' pools."""
+        """Return the last known load of a request's pool in each other region."""
         return self.loads.for_pool(work.pool)
 
     async def forward_to_region(
@@ -65,14 +66,14 @@
         sink: AnswerSink,
         excluded: frozenset[str],
     ) -> AttemptResult:
-        """Send to a live peer of a region, a linked one first."""
+        """Send to a live peer of a region, preferably to a linked one."""
         members = self.view.usable_entries(region, now_unix_s())
         candidates = [each for each in members if each.vm not in excluded]
         if not candidates:
-            refusal = _nobody_left(region, has_refused=bool(members))
+            refusal = _no_peer_refusal(region, has_refused=bool(members))
             return AttemptResult(state=attempt.state, detail=refusal.detail, refusal=refusal)
         member = min(candidates, key=self._order)
-        # The id is claimed here or needs no claim: the peer just runs the request.
+        # The id is claimed here or needs no claim, so that the peer only runs the request.
         return await self._forward(member, request, attempt, sink, is_claim=False)
 
     async def forward_to_issuer(
@@ -82,7 +83,9 @@
         successor = self.view.successor_of(vm, incarnation)
         member = self.view.get(successor or vm)
         if member is None or (successor is None and member.incarnation != incarnation):
-            return AttemptResult(state=attempt.state, detail=f"{vm} is not known in that start")
+            return AttemptResult(
+                state=attempt.state, detail=f"{vm} is not known under this incarnation"
+            )
         return await self._forward(member, request, attempt, sink, is_claim=True)
 
     def _order(self, member: Member) -> tuple[bool, float]:
@@ -125,16 +128,16 @@
                 with run.link.in_use():
                     return await run.run()
         except TimeoutError:
-            return await run.lose("the deadline passed", LAST_WORD_S)
+            return await run.resolve_lost("the deadline passed", FINAL_ANSWER_TIMEOUT_S)
         except (CallerGoneError, asyncio.CancelledError):
             await asyncio.shield(run.cancel())
             raise
 
 
-def _nobody_left(region: str, has_refused: bool) -> Refusal:
+def _no_peer_refusal(region: str, has_refused: bool) -> Refusal:
     retry_at_unix_s = now_unix_s() + 1.0
     if has_refused:
-        detail = f"every entry VM of {region} has refused it"
+        detail = f"every entry VM of {region} has refused the request"
         return refuse(Kind.NO_CAPACITY, Run.NO, detail, retry_at_unix_s)
     detail = f"no entry VM of {region} can be reached"
     return refuse(Kind.HOME_UNREACHABLE, Run.NO, detail, retry_at_unix_s)
@@ -142,7 +145,7 @@
 
 @define(kw_only=True)
 class Forward:
-    """Hold what one forward has achieved so far."""
+    """Run one forward and track its progress."""
 
     forwarder: PeerForwarder
     member: Member
@@ -153,38 +156,38 @@
     is_claim: bool
     serial: int
     head_passed: bool = False
-    relayed: Relayed = field(factory=Relayed)
-    # What the peer said last of all; nothing that happens to the connection changes it.
-    _ended: AttemptResult | None = None
+    progress: RelayProgress = field(factory=RelayProgress)
+    # The result that the peer reported; a later loss of the connection doesn't change it.
+    _final_result: AttemptResult | None = None
 
     async def run(self) -> AttemptResult:
-        """Send, relay the answer, and learn how it ended."""
+        """Send the request, relay the answer and return the result."""
         try:
-            with take_back_cancels():
-                await self._converse(await self.link.up_channel())
-        except LOST as error:
-            if self._ended is None:
-                return await self._resume_or_lose(repr(error))
-        assert self._ended is not None
-        return self._ended
-
-    async def _resume_or_lose(self, detail: str) -> AttemptResult:
-        """Fetch the rest through any peer of the region; the engine still holds the work."""
-        if not self.relayed.is_resumable:
-            return await self.lose(detail)
-        rest = self._rest()
+            with undo_grpclib_cancellations():
+                await self._send_and_receive(await self.link.up_channel())
+        except CONNECTION_ERRORS as error:
+            if self._final_result is None:
+                return await self._resume_or_resolve_lost(repr(error))
+        assert self._final_result is not None
+        return self._final_result
+
+    async def _resume_or_resolve_lost(self, detail: str) -> AttemptResult:
+        """Fetch the rest through any peer of the region, if the stream can be resumed."""
+        if not self.progress.is_resumable:
+            return await self.resolve_lost(detail)
+        rest = self._resumption()
         await rest.release(self.member, self.serial)
         if not await rest.fetch():
-            return await self.lose(detail)
+            return await self.resolve_lost(detail)
         return await self._finish()
 
-    def _rest(self) -> RestOfForward:
+    def _resumption(self) -> ForwardResumption:
         message = self._message()
-        message.request_id = self.relayed.request_id or message.request_id
+        message.request_id = self.progress.request_id or message.request_id
         message.ClearField("headers")
         message.ClearField("body")
         forwarder = self.forwarder
-        return RestOfForward(
+        return ForwardResumption(
             own=forwarder.own,
             view=forwarder.view,
             table=forwarder.table,
@@ -195,11 +198,11 @@
             region=self.member.region,
             message=message,
             sink=self.sink,
-            relayed=self.relayed,
+            progress=self.progress,
         )
 
-    async def lose(self, detail: str, within_s: float = CANCEL_TIMEOUT_S) -> AttemptResult:
-        """Ask on a new connection whether it ran; without a clear answer it may have."""
+    async def resolve_lost(self, detail: str, within_s: float = CANCEL_TIMEOUT_S) -> AttemptResult:
+        """Cancel the lost forward; without a definite answer of the peer it may have run."""
         if self.attempt.state is AttemptState.NOT_SENT:
             return self._result(detail)
         self.attempt.apply(AttemptEvent.LOSE)
@@ -209,7 +212,7 @@
         return self._result(detail)
 
     async def cancel(self) -> str:
-        """Tell the peer to drop the request; return what it says became of it."""
+        """Cancel the request at the peer; return the outcome that the peer reports."""
         if self.attempt.state is AttemptState.NOT_SENT:
             return "not_run"
         message = pb.CancelRequest(
@@ -222,41 +225,41 @@
         )
         return await cancel_forward(self.link, self.forwarder.keys, message)
 
-    async def _converse(self, channel: Channel) -> None:
+    async def _send_and_receive(self, channel: Channel) -> None:
         metadata = self.forwarder.keys.metadata(self.forwarder.own.vm, FORWARD_PATH)
         message = self._message()
         async with PeerStub(channel).Forward.open(metadata=metadata) as stream:
-            # Headers alone start nothing: the peer acts on the message that follows them.
+            # The headers alone start nothing: the peer acts on the message that follows.
             await start_call(stream)
             self.attempt.apply(AttemptEvent.SEND)
             await stream.send_message(message, end=True)
-            while self._ended is None:
+            while self._final_result is None:
                 event = await stream.recv_message()
                 if event is None:
-                    raise ConnectionError("the answer stopped without an end")
-                self._ended = await self._take(event)
+                    raise ConnectionError("the peer closed the stream before the end event")
+                self._final_result = await self._handle_event(event)
 
-    async def _take(self, event: pb.ForwardEvent) -> AttemptResult | None:
+    async def _handle_event(self, event: pb.ForwardEvent) -> AttemptResult | None:
         kind = event.WhichOneof("kind")
         if kind == "chunk":
-            self.relayed.observe_chunk(event.chunk)
+            self.progress.observe_chunk(event.chunk)
             await self.sink.chunk(event.chunk)
             return None
         if kind == "head":
-            await self._take_head(event.head)
+            await self._handle_head(event.head)
             return None
         if kind == "refusal":
-            return self._take_refusal(event.refusal)
-        return await self._take_end(event.end)
+            return self._handle_refusal(event.refusal)
+        return await self._handle_end(event.end)
 
-    async def _take_head(self, head: pb.Head) -> None:
+    async def _handle_head(self, head: pb.Head) -> None:
         self.attempt.apply(AttemptEvent.FIRST_BYTE)
         self.head_passed = True
-        self.relayed.observe_head(head, self.request.is_streamed)
+        self.progress.observe_head(head, self.request.is_streamed)
         headers = tuple((each.name, each.value) for each in head.headers)
         await self.sink.head(AnswerHead(head.status, headers, head.server))
 
-    async def _take_end(self, end: pb.End) -> AttemptResult:
+    async def _handle_end(self, end: pb.End) -> AttemptResult:
         if not end.complete:
             self.attempt.apply(AttemptEvent.LOSE)
             return self._result(end.detail)
@@ -267,7 +270,7 @@
         self.attempt.apply(AttemptEvent.END)
         return self._result("")
 
-    def _take_refusal(self, message: pb.Refusal) -> AttemptResult:
+    def _handle_refusal(self, message: pb.Refusal) -> AttemptResult:
         refusal = self._refusal(message)
         is_unrun = refusal.run is Run.NO
         self.attempt.apply(AttemptEvent.REFUSE_UNRUN if is_unrun else AttemptEvent.LOSE)
--- a/src/pomelobarrow/peers/forward_resume.py
+++ b/src/pomelobarrow/peers/forward_resume.py
@@ -14,7 +14,7 @@
 from pomelobarrow.kernel.clock import now_unix_s
 from pomelobarrow.operators.traces import Traces
 from pomelobarrow.peers import peers_pb2 as pb
-from pomelobarrow.peers.calls import LOST, start_call, take_back_cancels
+from pomelobarrow.peers.calls import CONNECTION_ERRORS, start_call, undo_grpclib_cancellations
 from pomelobarrow.peers.forward_cancel import cancel_forward
 from pomelobarrow.peers.keys import PeerKeys
 from pomelobarrow.peers.peers_grpc import PeerStub
@@ -22,44 +22,44 @@
 
 RESUME_PATH = "/pomelobarrow.peers.v1.Peer/Resume"
 EVENT_SEPARATOR = b"\n\n"
-# Two peers tried three times each, a lost link's silence included, end well within the 30 s for
-# which an engine keeps the work.
-MAX_FRUITLESS_TRIES = 6
+# Three tries with each of two peers, including the time to detect a lost link, end well within the
+# 30 s for which an engine keeps the work.
+MAX_TRIES_WITHOUT_PROGRESS = 6
 TRY_PAUSE_S = 0.3
 
 
 @define
-class Relayed:
-    """Count what has gone to the caller of one forwarded stream."""
+class RelayProgress:
+    """Track how much of one forwarded stream has been sent to the caller."""
 
-    # The server that runs it; empty where the answer is no stream of events.
+    # The server that runs the request; empty if the answer isn't an event stream.
     server: str = ""
-    # The id under which that server holds it; empty where it is the forward's.
+    # The id under which that server holds the request; empty if it is the id of the forward.
     request_id: str = ""
-    whole_events: int = 0
+    complete_events: int = 0
     is_ended: bool = False
 
     def observe_head(self, head: pb.Head, is_streamed: bool) -> None:
-        """Note whether the answer is a stream that can be resumed."""
+        """Record whether the answer is a stream that can be resumed."""
         content_types = {h.value for h in head.headers if h.name.lower() == "content-type"}
         is_stream = is_streamed and head.status == 200 and SERVER_SENT_EVENTS in content_types
         self.server = head.server if is_stream else ""
         self.request_id = head.request_id
 
     def observe_chunk(self, data: bytes) -> None:
-        """Count the events; the executing VM sends whole ones only."""
-        self.whole_events += data.count(EVENT_SEPARATOR)
+        """Count the events; the executing VM sends complete events only."""
+        self.complete_events += data.count(EVENT_SEPARATOR)
         self.is_ended = data.endswith(END_EVENT)
 
     @property
     def is_resumable(self) -> bool:
-        """Tell whether the rest can be asked for."""
+        """Return whether the rest of the stream can be fetched."""
         return bool(self.server)
 
 
 @define(kw_only=True)
-class RestOfForward:
-    """Hold the search for a peer that brings the rest; one relay at a time."""
+class ForwardResumption:
+    """Fetch the rest of a stream from one peer after another until one delivers it."""
 
     own: Member
     view: MembershipView
@@ -71,20 +71,22 @@
     region: str
     message: pb.ForwardRequest
     sink: AnswerSink
-    relayed: Relayed
+    progress: RelayProgress
     _tried: set[str] = field(factory=set)
 
     async def fetch(self) -> bool:
-        """Relay the rest; False where no peer brought it."""
-        fruitless = 0
-        while not self.relayed.is_ended and fruitless < MAX_FRUITLESS_TRIES:
-            events_before = self.relayed.whole_events
+        """Relay the rest of the stream; return False if no peer delivered it."""
+        tries_without_progress = 0
+        while not self.progress.is_ended and tries_without_progress < MAX_TRIES_WITHOUT_PROGRESS:
+            events_before = self.progress.complete_events
             if await self._try_next():
                 return True
-            fruitless = fruitless + 1 if self.relayed.whole_events == events_before else 0
+            tries_without_progress = (
+                tries_without_progress + 1 if self.progress.complete_events == events_before else 0
+            )
             await asyncio.sleep(TRY_PAUSE_S)
-        # Only the word that it is whole was lost.
-        return self.relayed.is_ended
+        # If the last event was relayed, only the message that confirms the end was lost.
+        return self.progress.is_ended
 
     async def _try_next(self) -> bool:
         members = self.view.usable_entries(self.region, now_unix_s())
@@ -95,9 +97,9 @@
         member = min(members, key=self._order)
         self._tried.add(member.vm)
         with self.traces.span("resume", self.message.traceparent, peer=member.vm) as span:
-            is_whole = await self._try(member)
-            span.set("outcome", "whole" if is_whole else "lost")
-            return is_whole
+            is_complete = await self._try(member)
+            span.set("outcome", "whole" if is_complete else "lost")
+            return is_complete
 
     def _order(self, member: Member) -> tuple[bool, bool, float]:
         return member.vm in self._tried, not self.table.is_linked(member.vm), self.rng.random()
@@ -106,17 +108,17 @@
         link = await self.table.link_to(member)
         self.message.serial = self.next_serial()
         try:
-            with link.in_use(), take_back_cancels():
+            with link.in_use(), undo_grpclib_cancellations():
                 return await self._relay(await link.up_channel())
-        except LOST:
+        except CONNECTION_ERRORS:
             await self.release(member, self.message.serial)
             return False
 
     async def release(self, member: Member, serial: int) -> None:
-        """Let a peer whose relay was lost end it without cancelling the server's work.
+        """Have a peer end a relay that was lost, without cancelling the server's work.
 
-        On a silent connection it would wait with its half-sent answer until the deadline, and
-        hold up its own planned stop.
+        On a connection that stopped responding, the peer would otherwise hold its partly sent
+        answer until the deadline, which would delay its own planned stop.
         """
         link = await self.table.link_to(member)
         message = pb.CancelRequest(
@@ -134,8 +136,8 @@
         metadata = self.keys.metadata(self.own.vm, RESUME_PATH)
         request = pb.ResumeRequest(
             request=self.message,
-            server=self.relayed.server,
-            from_event=self.relayed.whole_events,
+            server=self.progress.server,
+            from_event=self.progress.complete_events,
         )
         async with PeerStub(channel).Resume.open(metadata=metadata) as stream:
             await start_call(stream)
@@ -143,7 +145,7 @@
             while (event := await stream.recv_message()) is not None:
                 kind = event.WhichOneof("kind")
                 if kind == "chunk":
-                    self.relayed.observe_chunk(event.chunk)
+                    self.progress.observe_chunk(event.chunk)
                     await self.sink.chunk(event.chunk)
                 elif kind != "head":
                     return kind == "end" and event.end.complete
--- a/src/pomelobarrow/peers/forward_server.py
+++ b/src/pomelobarrow/peers/forward_server.py
@@ -1,4 +1,4 @@
-"""Run what a peer passed on, or refuse it; nothing here can pass it on again."""
+"""Run the requests that peers forward, or refuse them; none is forwarded again."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -22,12 +22,12 @@
 
 NOT_RUN = "not_run"
 UNKNOWN = "unknown"
-# Shorter than the entry VM waits for the answer.
+# Shorter than the time that the entry VM waits for the answer.
 CANCEL_TIMEOUT_S = 1.0
 
 
 class ForwardSink:
-    """Pass an answer back to the entry VM."""
+    """Send an answer back to the entry VM."""
 
     def __init__(self, stream) -> None:  # type: ignore[no-untyped-def]
         self._stream = stream
@@ -48,18 +48,18 @@
         await self.send(pb.ForwardEvent(chunk=data))
 
     async def end(self) -> None:
-        """Say that the answer is whole."""
+        """Send the end of a complete answer."""
         await self.send(pb.ForwardEvent(end=pb.End(complete=True)))
 
     async def broken(self, refusal: Refusal) -> None:
-        """Say that the answer stops short."""
+        """Send the end of an incomplete answer."""
         await self.send(pb.ForwardEvent(end=pb.End(complete=False, detail=refusal.detail)))
 
     def is_lost(self) -> bool:
-        """Tell whether the entry VM may fetch the rest elsewhere.
+        """Return whether the entry VM may fetch the rest through another peer.
 
-        It resets the stream of a caller that left, on a connection that stays open. A closed
-        connection says nothing of the caller.
+        When a caller disconnects, the entry VM resets the stream and the connection stays open. A
+        closed connection therefore doesn't mean that the caller is gone.
         """
         # grpclib has no public way to the transport.
         transport = self._stream.peer._transport if self._stream.peer else None
@@ -74,18 +74,18 @@
 
 
 @define(kw_only=True)
-class Running:
-    """Hold one forwarded request while it runs here."""
+class RunningForward:
+    """Track one forwarded request while it runs here."""
 
     request: GatewayRequest
     task: "asyncio.Task[Refusal | None]"
     sink: ForwardSink
 
     async def cancel(self) -> str:
-        """End it; "not_run" where every attempt so far is certain not to have run."""
+        """Cancel it; return "not_run" if every attempt so far is certain not to have run."""
         self.task.cancel()
         await asyncio.wait({self.task}, timeout=CANCEL_TIMEOUT_S)
-        # A claimed request goes on without its task, so that a repeat gets its outcome.
+        # A claimed request continues without its task, so that a retry gets its outcome.
         if not self.task.cancelled() or self.request.is_claimed:
             return UNKNOWN
         states = [attempt.state for attempt in self.request.attempts]
@@ -94,15 +94,15 @@
 
 @define(kw_only=True)
 class ForwardServer:
-    """Hold the forwarded requests that this VM knows of."""
+    """Run, resume and cancel the requests that peers forward to this VM."""
 
     incarnation: int
     configuration: Callable[[], Configuration | None]
     entry: EntryDispatch
     offsets: ClockOffsets
     is_draining: Callable[[], bool] = lambda: False
-    book: ForwardRegistry = field(factory=ForwardRegistry)
-    _running: dict[ForwardKey, Running] = field(factory=dict)
+    registry: ForwardRegistry = field(factory=ForwardRegistry)
+    _running: dict[ForwardKey, RunningForward] = field(factory=dict)
 
     async def forward(self, stream, vm: str) -> None:  # type: ignore[no-untyped-def]
         """Answer one forwarded request."""
@@ -120,14 +120,14 @@
         if message is None:
             return
         sink = ForwardSink(stream)
-        refusal = await self._fetch(message, vm, sink)
+        refusal = await self._resume(message, vm, sink)
         if refusal is not None and not sink.head_passed:
             await sink.send(pb.ForwardEvent(refusal=_refusal_message(refusal)))
 
     async def cancel(self, request: pb.CancelRequest, vm: str) -> str:
-        """Drop a request; say "not_run" only where that is certain and stays so."""
+        """Cancel a request; return "not_run" only if that is certain and final."""
         if request.executor_incarnation != self.incarnation:
-            # Whoever ran under this name before may have run it.
+            # An earlier incarnation of this VM may have run it.
             return UNKNOWN
         key = ForwardKey(vm, request.forwarded_by_incarnation, request.serial)
         running = self._running.get(key)
@@ -135,84 +135,94 @@
             running.sink.is_taken_over = request.keeps_work
             return await running.cancel()
         deadline_unix_s = self.offsets.to_local(vm, request.deadline_unix_s)
-        is_certain = self.book.cancel(key, deadline_unix_s, now_unix_s())
+        is_certain = self.registry.cancel(key, deadline_unix_s, now_unix_s())
         return NOT_RUN if is_certain else UNKNOWN
 
     async def _run(self, message: pb.ForwardRequest, vm: str, sink: ForwardSink) -> Refusal | None:
         key = ForwardKey(vm, message.forwarded_by_incarnation, message.serial)
-        # The entry VM may have been told "not run" while this message sat in a buffer, say
-        # because this process was frozen. Running it now would make that untrue.
-        if self.book.is_cancelled(key):
-            return refuse(Kind.DEADLINE_PASSED, _run(message), "the entry VM has cancelled it")
+        # The entry VM may have received "not_run" while this message was still buffered, for
+        # example because this process was paused. The request must not run after that answer.
+        if self.registry.is_cancelled(key):
+            return refuse(
+                Kind.DEADLINE_PASSED, _run(message), "the entry VM has cancelled the request"
+            )
         request = self._request(message, vm)
         if isinstance(request, Refusal):
             return request
         request = evolve(request, is_reader_lost=sink.is_lost)
         answer = self.entry.dispatch_forwarded(request, sink)
         try:
-            return await self._answer(key, request, sink, answer)
+            return await self._await_answer(key, request, sink, answer)
         finally:
             self._note_if_unrun(key, request)
 
     def _note_if_unrun(self, key: ForwardKey, request: GatewayRequest) -> None:
-        # A claimed request goes on without its stream.
+        # A claimed request continues without its stream.
         if request.is_claimed or key in self._running:
             return
         if run_verdict(attempt.state for attempt in request.attempts) is Run.NO:
-            self.book.note_unrun(key, request.work.deadline_unix_s, now_unix_s())
+            self.registry.note_unrun(key, request.work.deadline_unix_s, now_unix_s())
 
-    async def _fetch(self, message: pb.ResumeRequest, vm: str, sink: ForwardSink) -> Refusal | None:
+    async def _resume(
+        self, message: pb.ResumeRequest, vm: str, sink: ForwardSink
+    ) -> Refusal | None:
         request = self._request(message.request, vm)
         if isinstance(request, Refusal):
             return request
         request = evolve(request, is_reader_lost=sink.is_lost)
         key = ForwardKey(vm, message.request.forwarded_by_incarnation, message.request.serial)
         answer = self.entry.resume_forwarded(request, message.server, message.from_event, sink)
-        return await self._answer(key, request, sink, answer)
+        return await self._await_answer(key, request, sink, answer)
 
-    async def _answer(
+    async def _await_answer(
         self,
         key: ForwardKey,
         request: GatewayRequest,
         sink: ForwardSink,
         answer: Coroutine[Any, Any, Refusal | None],
     ) -> Refusal | None:
-        self.book.note_seen(key, now_unix_s())
+        self.registry.note_seen(key, now_unix_s())
         task = asyncio.ensure_future(answer)
-        self._running[key] = Running(request=request, task=task, sink=sink)
+        self._running[key] = RunningForward(request=request, task=task, sink=sink)
         try:
             return await task
         except CallerGoneError:
             return None
         finally:
-            # Left in the table, a task that still ends is asked for its outcome, not the book.
+            # A task that is still ending stays listed, so that a cancel call gets the outcome from
+            # it and not from the registry.
             if task.done():
                 del self._running[key]
             else:
                 task.cancel()
                 task.add_done_callback(lambda _: self._running.pop(key, None))
 
-    def _back_s(self, vm: str) -> float:
-        """Return how long an answer takes to the entry VM.
+    def _return_delay_s(self, vm: str) -> float:
+        """Return how long an answer takes to reach the entry VM.
 
-        A refusal given at the very deadline arrives after it, and the caller was told "unknown".
+        Without this margin a refusal sent at the deadline arrives after it, and the caller gets
+        "unknown".
         """
         best = self.offsets.best(vm)
         return best.round_trip_s / 2 if best is not None else 0.0
 
     def _request(self, message: pb.ForwardRequest, vm: str) -> GatewayRequest | Refusal:
-        # The entry VM sent it before it heard of the stop. Begun after everything here was found
-        # idle, it would be cut off and its outcome lost; refused unrun, it goes elsewhere.
+        # The entry VM sent it before it learned that this VM stops. If it started after the check
+        # for idleness, it would be aborted and its outcome lost; a refusal lets it run elsewhere.
         if self.is_draining() and not message.is_claim:
             return refuse(Kind.DRAINING, Run.NO, "this VM is stopping")
         configuration = self.configuration()
         work_class = configuration.classes.get(message.class_name) if configuration else None
         if work_class is None:
-            return refuse(Kind.NOT_READY, _run(message), "the class is not known here yet")
+            return refuse(
+                Kind.NOT_READY, _run(message), "the executing VM doesn't know the class yet"
+            )
         is_bound = work_class.home_bound or message.home_bound
         if is_bound and not _is_home(message, configuration):
             return refuse(Kind.BAD_HOME_REGION, Run.NO, "the account's home is another region")
-        deadline_unix_s = self.offsets.to_local(vm, message.deadline_unix_s) - self._back_s(vm)
+        deadline_unix_s = self.offsets.to_local(vm, message.deadline_unix_s) - self._return_delay_s(
+            vm
+        )
         if deadline_unix_s <= now_unix_s() and not message.is_claim:
             return refuse(Kind.DEADLINE_PASSED, Run.NO, "the deadline passed on the way")
         return GatewayRequest(
@@ -231,9 +241,9 @@
 
 
 def _run(message: pb.ForwardRequest) -> Run:
-    """Say what a refusal before any look at the ledger may claim.
+    """Return what a refusal sent before the ledger is consulted may state.
 
-    An earlier request under the same issued id may have run here. Only the ledger knows.
+    An earlier request under the same issued id may have run here; only the ledger records that.
     """
     return Run.UNKNOWN if message.is_claim else Run.NO
 
@@ -254,8 +264,8 @@
         pool=work_class.pool,
         model=message.model or None,
         home_region=message.home_region,
-        # Either side may not know yet that the class was bound to its home; the stricter one
-        # counts, so that the work leaves home only where both know that it may.
+        # Either VM may not have received yet that the class is bound to its home region. The
+        # stricter value counts, so that work leaves home only if both VMs allow it.
         home_bound=work_class.home_bound or message.home_bound,
         repeatable=work_class.repeatable,
         prompt_tokens=message.prompt_tokens,
--- a/src/pomelobarrow/peers/grid.py
+++ b/src/pomelobarrow/peers/grid.py
@@ -1,9 +1,10 @@
-"""Choose the few VMs of a region that one VM exchanges heartbeats with.
+"""Choose the VMs of a region that one VM exchanges heartbeats with.
 
-In a small region they are all the others. In a larger one the VMs stand in a grid, by name, and a
-VM speaks with its row and its column: what it says reaches every VM in two hops, and the cost of
-a VM grows with the square root of the region. Whoever hears news on a row passes it on along its
-column, and nothing else is passed on, so that each VM gets it once.
+In a small region these are all other VMs. In a larger region the VMs are arranged in a grid, by
+name, and a VM exchanges heartbeats with its row and its column. Its updates reach every VM in two
+hops, and the cost per VM grows with the square root of the region's size. A VM that receives an
+update on its row passes it on along its column. Nothing else is passed on, so that each VM gets
+each update once.
 """
 
 import enum
@@ -12,11 +13,11 @@
 
 from attrs import frozen
 
-FULL_MESH_UP_TO = 9
+FULL_MESH_MAX_VMS = 9
 
 
 class LinkKind(enum.Enum):
-    """Say what a peer is to this VM."""
+    """Enumerate the positions that a peer can have relative to this VM."""
 
     ROW = "row"
     COLUMN = "column"
@@ -25,7 +26,7 @@
 
 @frozen(kw_only=True)
 class Neighbours:
-    """Hold a VM's peers of its region; in a full mesh all of them count as its column."""
+    """List a VM's peers in its region; in a full mesh all of them count as its column."""
 
     row: frozenset[str] = frozenset()
     column: frozenset[str] = frozenset()
@@ -38,33 +39,33 @@
 
     @property
     def is_sparse(self) -> bool:
-        """Say whether the region has VMs that aren't neighbours."""
+        """Return whether the region has VMs that aren't neighbours."""
         return self.region_vms > len(self.all) + 1
 
     def kind(self, vm: str, same_region: bool) -> LinkKind:
-        """Return what a peer is to this VM."""
+        """Return the position of a peer relative to this VM."""
         if not same_region:
             return LinkKind.OTHER_REGION
         return LinkKind.ROW if vm in self.row else LinkKind.COLUMN
 
 
-def passes_on(came: LinkKind | None, to: LinkKind) -> bool:
-    """Say whether news is passed on inside the region; None is news of this VM's own."""
-    is_entry = came in (None, LinkKind.OTHER_REGION)
-    return is_entry or (came is LinkKind.ROW and to is LinkKind.COLUMN)
+def passes_on(source: LinkKind | None, to: LinkKind) -> bool:
+    """Return whether an update is passed on in the region; the source of an own update is None."""
+    is_entry = source in (None, LinkKind.OTHER_REGION)
+    return is_entry or (source is LinkKind.ROW and to is LinkKind.COLUMN)
 
 
 def neighbours(own_vm: str, region_vms: Iterable[str]) -> Neighbours:
-    """Return the peers of a VM; two VMs that know the same names agree on being neighbours."""
+    """Return a VM's neighbours; two VMs that know the same names agree on being neighbours."""
     names = sorted({own_vm, *region_vms})
     others = frozenset(names) - {own_vm}
-    if len(names) <= FULL_MESH_UP_TO:
+    if len(names) <= FULL_MESH_MAX_VMS:
         return Neighbours(column=others, region_vms=len(names))
     width = math.ceil(math.sqrt(len(names)))
     rows = _rows(names, width)
     row = {vm for each in rows if own_vm in each for vm in each}
-    own_place = names.index(own_vm) % width
-    column = set(names[own_place::width])
+    own_position = names.index(own_vm) % width
+    column = set(names[own_position::width])
     return Neighbours(
         row=frozenset(row - {own_vm}),
         column=frozenset(column - row - {own_vm}),
@@ -74,8 +75,8 @@
 
 def _rows(names: list[str], width: int) -> list[list[str]]:
     rows = [names[start : start + width] for start in range(0, len(names), width)]
-    # A short last row has no VM in the last columns. Without stand-ins from the row above, its
-    # news would never get there.
+    # A short last row has no VM in the last columns, so that its updates would never reach them.
+    # VMs of the row above fill these positions.
     if len(rows) > 1:
         rows[-1] = rows[-1] + rows[-2][len(rows[-1]) :]
     return rows
--- a/src/pomelobarrow/peers/hand_over.py
+++ b/src/pomelobarrow/peers/hand_over.py
@@ -1,4 +1,4 @@
-"""Hand the request ids of a stopping VM to one successor."""
+"""Transfer the request ids of a stopping VM to one successor."""
 
 import asyncio
 
@@ -14,14 +14,14 @@
     RequestIdLedger,
 )
 from pomelobarrow.peers import peers_pb2 as pb
-from pomelobarrow.peers.calls import LOST
+from pomelobarrow.peers.calls import CONNECTION_ERRORS
 from pomelobarrow.peers.keys import PeerKeys
 from pomelobarrow.peers.links import PeerLink
 from pomelobarrow.peers.peers_grpc import PeerStub
 
 HAND_OVER_PATH = "/pomelobarrow.peers.v1.Peer/HandOver"
 HAND_OVER_TIMEOUT_S = 3.0
-# A state that only a newer version knows is as good as lost: its repeats are answered "unknown".
+# A state that only a newer version defines is treated as lost: retries are answered "unknown".
 _STATE_BY_VALUE = {state.value: state for state in EntryState}
 
 log = structlog.get_logger(__name__)
@@ -30,13 +30,13 @@
 async def hand_over(
     ledger: RequestIdLedger, own: Member, link: PeerLink, keys: PeerKeys
 ) -> tuple[tuple[str, int], ...]:
-    """Send every book to the successor; return the issuers that it accepted."""
+    """Send the ids of each issuer to the successor; return the issuers that it accepted."""
     accepted = []
     for vm, incarnation in ledger.issuers:
         try:
             export = ledger.export((vm, incarnation))
         except HandedOverError as error:
-            log.warning("not handed over", issuer=vm, reason=str(error))
+            log.warning("request ids not handed over", issuer=vm, reason=str(error))
             continue
         if await _send(_message(vm, incarnation, export, own.vm), own.vm, link, keys):
             accepted.append((vm, incarnation))
@@ -44,7 +44,7 @@
 
 
 def adopt_message(ledger: RequestIdLedger, message: pb.HandOverRequest) -> bool:
-    """Take over another VM's ids; False where there is no room for them."""
+    """Adopt another VM's ids; return False if the ledger can't take them."""
     export = LedgerExport(
         secret=message.secret,
         entries=tuple(_entry(each) for each in message.entries),
@@ -60,10 +60,11 @@
             metadata = keys.metadata(own_vm, HAND_OVER_PATH)
             reply = await PeerStub(channel).HandOver(message, metadata=metadata)
             return bool(reply.accepted)
-    except (*LOST, AttributeError) as error:
-        # Whether it arrived is in doubt. The ids stay retired here and the successor's word
-        # counts if it has them, so none can run twice; without it repeats get "unknown".
-        log.warning("hand-over in doubt", successor=link.peer.vm, error=repr(error))
+    except (*CONNECTION_ERRORS, AttributeError) as error:
+        # The successor may or may not have received the ids. They stay retired here, and if the
+        # successor has them, it answers for them, so that none can run twice. Otherwise retries
+        # get "unknown".
+        log.warning("hand-over unconfirmed", successor=link.peer.vm, error=repr(error))
         return False
     finally:
         channel.close()
--- a/src/pomelobarrow/peers/heartbeats.py
+++ b/src/pomelobarrow/peers/heartbeats.py
@@ -1,4 +1,4 @@
-"""Build heartbeats and take in those of others."""
+"""Build heartbeats and apply those of peers."""
 
 import itertools
 from collections.abc import Callable, Iterable, Iterator
@@ -29,7 +29,7 @@
 
 @define
 class SentUpdates:
-    """Hold what was sent on one stream."""
+    """Record what was sent on one stream, so that later heartbeats carry the changes only."""
 
     is_new: bool = True
     members: SentMembers = field(factory=SentMembers)
@@ -41,10 +41,10 @@
 
 @define(kw_only=True)
 class Heartbeats:
-    """Hold what heartbeats are made of and what they teach.
+    """Build this VM's heartbeats and apply those received from peers.
 
-    A stream's first heartbeat with loads is whole, and the next ones tell what changed since. A
-    stream keeps its order and loses nothing; when it breaks, the next one starts whole.
+    The first heartbeat with loads on a stream is complete; later ones carry the changes only. A
+    stream is ordered and lossless. When it breaks, the next one starts with a complete heartbeat.
     """
 
     view: MembershipView
@@ -62,10 +62,10 @@
     _times: ServiceTimeUpdates = field(init=False)
     _sequence: "itertools.count[int]" = field(factory=lambda: itertools.count(1))
     _started_unix_s: float = field(factory=lambda: now_unix_s())
-    # Per peer: its last heartbeat's sending time and when it came, to be echoed.
+    # Per peer: when its last heartbeat was sent and received, to be echoed.
     _echoes: dict[str, tuple[float, float]] = field(factory=dict)
-    # Peers that have echoed a heartbeat of this incarnation, so that they know who we are.
-    _know_us: set[str] = field(factory=set)
+    # Peers that have echoed a heartbeat of this incarnation and thus hold its description.
+    _peers_that_know_us: set[str] = field(factory=set)
     # Per peer: incarnation and sequence of the last heartbeat that carried loads.
     _last_full: dict[str, tuple[int, int]] = field(factory=dict)
 
@@ -89,19 +89,19 @@
         )
 
     def set_neighbours(self, neighbours: Neighbours) -> None:
-        """Take over which peers of the region this VM exchanges heartbeats with."""
+        """Set the peers of the region that this VM exchanges heartbeats with."""
         self.neighbours = neighbours
         self.limits.set_region_vms(neighbours.region_vms)
         self.local.table.reading.region_vms = neighbours.region_vms
 
     def brief(self, peer: str) -> pb.Heartbeat:
-        """Return a heartbeat that only says who we are and how far we are."""
+        """Return a heartbeat without loads: own identity, phase and keyspace revisions."""
         heartbeat = self._base(peer, now_unix_s(), is_first=True)
         heartbeat.keyspaces.extend(self._keyspaces())
         return heartbeat
 
     def full(self, peer: str, same_region: bool, sent: SentUpdates) -> pb.Heartbeat:
-        """Return a heartbeat with the loads that are new on this stream to a peer."""
+        """Return a heartbeat with the loads that changed since the last one on this stream."""
         now = now_unix_s()
         is_first, sent.is_new = sent.is_new, False
         heartbeat = self._base(peer, now, is_first)
@@ -118,9 +118,9 @@
         return heartbeat
 
     def take(self, heartbeat: pb.Heartbeat, sent: SentUpdates | None = None) -> bool:
-        """Learn from a peer's heartbeat; False for one that is out of date.
+        """Apply a peer's heartbeat; return False if a newer one was applied before.
 
-        What the peer tells needn't be told to it on the same stream.
+        What the peer sends isn't sent back to it on the same stream.
         """
         now = now_unix_s()
         member = self._member(heartbeat)
@@ -130,52 +130,52 @@
         is_newest = self.view.observe_heartbeat(member, now)
         if is_newest:
             self._echoes[heartbeat.vm] = (heartbeat.sent_unix_s, now)
-            self._members.heard_directly(heartbeat.vm, kind)
+            self._members.note_direct_contact(heartbeat.vm, kind)
             self._note_whether_known(heartbeat)
-            self._take_times(heartbeat, now)
-        if self._is_news_of_loads(heartbeat):
-            self._take_loads(heartbeat, member, kind, sent or SentUpdates(), now)
+            self._observe_clock(heartbeat, now)
+        if self._has_newer_loads(heartbeat):
+            self._apply_loads(heartbeat, member, kind, sent or SentUpdates(), now)
         return is_newest
 
     def missing_members_request(
         self, heartbeat: pb.Heartbeat, sent: SentUpdates | None = None
     ) -> pb.PeerMessage | None:
-        """Return the question for the members that a peer tells of and this VM lacks."""
+        """Return the request for the members that a peer named and this VM doesn't know, if any."""
         members = (sent or SentUpdates()).members
-        keys = self._members.lacking(members, heartbeat.member_keys, now_unix_s())
+        keys = self._members.missing_keys(members, heartbeat.member_keys, now_unix_s())
         return pb.PeerMessage(member_request=pb.MemberRequest(keys=keys)) if keys else None
 
     def describe_members(self, request: pb.MemberRequest) -> Iterator[pb.PeerMessage]:
-        """Yield the answers to a peer that lacks members; an empty one where all are forgotten."""
-        told = self._members.describe(request.keys)
-        for start in range(0, max(1, len(told)), DESCRIPTIONS_PER_MESSAGE):
-            members = told[start : start + DESCRIPTIONS_PER_MESSAGE]
+        """Yield the answers to a member request; a single empty one if none is known any more."""
+        summaries = self._members.describe(request.keys)
+        for start in range(0, max(1, len(summaries)), DESCRIPTIONS_PER_MESSAGE):
+            members = summaries[start : start + DESCRIPTIONS_PER_MESSAGE]
             descriptions = pb.MemberDescriptions(members=members, sent_unix_s=now_unix_s())
             yield pb.PeerMessage(member_descriptions=descriptions)
 
     def receive_members(
-        self, told: pb.MemberDescriptions, peer: str, sent: SentUpdates | None = None
+        self, message: pb.MemberDescriptions, peer: str, sent: SentUpdates | None = None
     ) -> None:
-        """Take the descriptions that a peer was asked for."""
+        """Apply the member descriptions that a peer was asked for."""
         now, member = now_unix_s(), self.view.get(peer)
-        is_near = member is not None and member.region == self.view.own_region
-        ahead_s = told.sent_unix_s - self.offsets.sent_unix_s(peer, told.sent_unix_s, now)
-        kind = self.neighbours.kind(peer, is_near)
-        self._members.take_descriptions(told.members, peer, kind, now, ahead_s)
+        is_same_region = member is not None and member.region == self.view.own_region
+        ahead_s = message.sent_unix_s - self.offsets.sent_unix_s(peer, message.sent_unix_s, now)
+        kind = self.neighbours.kind(peer, is_same_region)
+        self._members.receive_descriptions(message.members, peer, kind, now, ahead_s)
         if sent is not None:
             self._members.note_answered(sent.members)
 
     def forget_for_good(self, vm: str) -> None:
-        """Drop all that is kept of a VM that was replaced or silent for long."""
+        """Drop all records of a VM that was replaced or has been silent for a long time."""
         self.forget(vm)
         self.offsets.forget(vm)
         self._members.forget(vm)
-        self._know_us.discard(vm)
+        self._peers_that_know_us.discard(vm)
         self._echoes.pop(vm, None)
         self._last_full.pop(vm, None)
 
     def forget(self, vm: str) -> None:
-        """Drop what a peer said that left or fell silent."""
+        """Drop the loads received from a peer that left or is silent."""
         self.local.table.forget_peer(vm)
         self.limits.forget_peer(vm)
         self._servers.forget(vm)
@@ -195,7 +195,7 @@
             echo_sent_unix_s=sent_unix_s,
             echo_received_unix_s=received_unix_s,
         )
-        if is_first or peer not in self._know_us:
+        if is_first or peer not in self._peers_that_know_us:
             heartbeat.region = own.region
             heartbeat.failure_domain = own.failure_domain
             heartbeat.caller_address = own.caller_address
@@ -214,12 +214,13 @@
         ]
 
     def _member(self, heartbeat: pb.Heartbeat) -> Member | None:
-        """Return who speaks; a heartbeat without a description is of a member known already."""
+        """Return the sender; without a description in the heartbeat it must be a known member."""
         if heartbeat.region:
             return _member(heartbeat)
         known = self.view.get(heartbeat.vm)
         if known is None or known.incarnation != heartbeat.incarnation:
-            # We forgot a peer that thinks it is known. Unechoed, its next heartbeat tells all.
+            # This VM dropped a peer that considers itself known. Without an echo, its next
+            # heartbeat carries its description again.
             self._echoes.pop(heartbeat.vm, None)
             return None
         return Member(
@@ -235,15 +236,15 @@
 
     def _note_whether_known(self, heartbeat: pb.Heartbeat) -> None:
         if heartbeat.echo_sent_unix_s >= self._started_unix_s:
-            self._know_us.add(heartbeat.vm)
+            self._peers_that_know_us.add(heartbeat.vm)
         else:
-            self._know_us.discard(heartbeat.vm)
+            self._peers_that_know_us.discard(heartbeat.vm)
 
-    def _is_news_of_loads(self, heartbeat: pb.Heartbeat) -> bool:
-        """Tell whether these loads are newer than the ones held.
+    def _has_newer_loads(self, heartbeat: pb.Heartbeat) -> bool:
+        """Return whether these loads are newer than the ones held.
 
-        Where both VMs have dialed, a peer speaks on two connections. A brief heartbeat on one may
-        overtake a full one on the other; were that dropped as old, its loads would be lost.
+        If both VMs have dialed, a peer sends on two connections. A heartbeat without loads on one
+        may overtake one with loads on the other; dropped as outdated, its loads would be lost.
         """
         if not heartbeat.has_loads:
             return False
@@ -253,7 +254,7 @@
         self._last_full[heartbeat.vm] = order
         return True
 
-    def _take_loads(
+    def _apply_loads(
         self,
         heartbeat: pb.Heartbeat,
         member: Member,
@@ -270,7 +271,7 @@
             self._times.take(heartbeat, now)
         self._demand.take(heartbeat, kind, now)
 
-    def _take_times(self, heartbeat: pb.Heartbeat, now: float) -> None:
+    def _observe_clock(self, heartbeat: pb.Heartbeat, now: float) -> None:
         self.offsets.observe(
             heartbeat.vm,
             sent_unix_s=heartbeat.sent_unix_s,
--- a/src/pomelobarrow/peers/joining.py
+++ b/src/pomelobarrow/peers/joining.py
@@ -1,4 +1,4 @@
-"""Join the fleet before serving: hear the peers and catch up with them."""
+"""Join the fleet before serving: contact the peers and catch up with their revisions."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -38,11 +38,11 @@
 
     @Service.task
     async def _join(self) -> None:
-        await _bounded(self._watcher.first_read_done.wait(), PLATFORM_WAIT_S)
+        await _wait_at_most(self._watcher.first_read_done.wait(), PLATFORM_WAIT_S)
         await self._table.review()
         await self._table.wait_for_answers(PEERS_WAIT_S)
-        # A VM started while the platform shows an old view would serve on a revision that the
-        # others have left behind: classes and limits would seem to revert for its callers.
+        # A VM that starts while the platform returns outdated data would serve an older revision
+        # than its peers, and classes and limits would appear to revert for its callers.
         while not self._has_caught_up() and not self.should_stop:
             await self.sleep(CHECK_EVERY_S)
         self.is_joined = True
@@ -58,9 +58,11 @@
         return {name: copy.revision for name, copy in self._published.copies.items()}
 
 
-async def _bounded(wait: Awaitable[object], timeout_s: float) -> None:
+async def _wait_at_most(wait: Awaitable[object], timeout_s: float) -> None:
     try:
         async with asyncio.timeout(timeout_s):
             await wait
     except TimeoutError:
-        log.warning("platform silent at start", remedy="check platform.addresses in the settings")
+        log.warning(
+            "platform did not answer at start", remedy="check platform.addresses in the settings"
+        )
--- a/src/pomelobarrow/peers/links.py
+++ b/src/pomelobarrow/peers/links.py
@@ -1,4 +1,4 @@
-"""Keep a connection to one peer's address and replace it when it falls silent."""
+"""Keep a connection to one peer's address, and replace it when the peer stops responding."""
 
 import asyncio
 import random
@@ -13,7 +13,7 @@
 from pomelobarrow.kernel.clock import now_unix_s
 from pomelobarrow.peers.calls import (
     CONNECT_TIMEOUT_S,
-    LOST,
+    CONNECTION_ERRORS,
     SingleConnection,
     start_call,
 )
@@ -31,7 +31,7 @@
 
 
 class PeerLink(Service):
-    """Hold the connection to one peer's address."""
+    """Keep one connection to a peer's address open and reconnect with backoff."""
 
     def __init__(
         self,
@@ -56,18 +56,18 @@
 
     @property
     def peer(self) -> ListedVm:
-        """Return the peer, by its own name once it has said that."""
+        """Return the peer, under its own name once it has sent that."""
         return self.stream.peer
 
     @property
     def is_up(self) -> bool:
-        """Say whether the other end has spoken on this connection."""
+        """Return whether the other end has sent a message on this connection."""
         return self.stream.is_up
 
     async def up_channel(self) -> Channel:
-        """Return the connection that heartbeats watch, waiting a moment for it to come up.
+        """Return the connection that heartbeats monitor; wait CONNECT_TIMEOUT_S for it to come up.
 
-        A forward on a connection of its own would wait without end once that falls silent.
+        On a connection of its own, a forward would wait forever once the peer stops responding.
         """
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -79,12 +79,12 @@
 
     @property
     def is_in_use(self) -> bool:
-        """Tell whether a forward runs over this link; closing it would break the answer off."""
+        """Return whether a forward runs over this link; closing it would abort the answer."""
         return self._uses > 0
 
     @contextmanager
     def in_use(self) -> Iterator[None]:
-        """Keep the link while a forward runs over it."""
+        """Mark the link as used for as long as a forward runs over it."""
         self._uses += 1
         try:
             yield
@@ -92,7 +92,7 @@
             self._uses -= 1
 
     def open_channel(self) -> Channel:
-        """Return a new channel to the peer; nothing is connected until it is used."""
+        """Return a new channel to the peer; it connects at the first call."""
         host, _, port = self._address.rpartition(":")
         return SingleConnection(host, int(port))
 
@@ -102,27 +102,28 @@
         while not self.should_stop:
             started_unix_s = now_unix_s()
             try:
-                await self._converse()
-            except LOST as error:
-                self._note_lost(error)
+                await self._run_stream()
+            except CONNECTION_ERRORS as error:
+                self._log_lost(error)
             finally:
-                self._drop()
-            held = now_unix_s() - started_unix_s > SILENT_AFTER_S * 2
-            pause_s = RECONNECT_FLOOR_S if held else min(pause_s * 2, RECONNECT_CEILING_S)
+                self._disconnect()
+            was_stable = now_unix_s() - started_unix_s > SILENT_AFTER_S * 2
+            pause_s = RECONNECT_FLOOR_S if was_stable else min(pause_s * 2, RECONNECT_CEILING_S)
             await self.sleep(pause_s * self._random.uniform(0.5, 1.0))
 
-    def _note_lost(self, error: Exception) -> None:
-        # A peer that stays away is tried again and again: only the loss itself is news.
-        heard_unix_s = self.stream.last_heard_unix_s
-        level = log.info if heard_unix_s else log.debug
-        silent_s = now_unix_s() - heard_unix_s if heard_unix_s else None
+    def _log_lost(self, error: Exception) -> None:
+        # Attempts to reach an unavailable peer fail repeatedly, so that only the loss of a working
+        # connection is logged at info level.
+        last_seen_unix_s = self.stream.last_seen_unix_s
+        level = log.info if last_seen_unix_s else log.debug
+        silent_s = now_unix_s() - last_seen_unix_s if last_seen_unix_s else None
         level("peer link lost", peer=self.peer.vm, error=repr(error), silent_s=silent_s)
 
     async def on_stop(self) -> None:
         """Close the connection."""
-        self._drop()
+        self._disconnect()
 
-    async def _converse(self) -> None:
+    async def _run_stream(self) -> None:
         self.channel = self.open_channel()
         metadata = self._keys.metadata(self._own_vm, EXCHANGE_PATH)
         async with PeerStub(self.channel).Exchange.open(metadata=metadata) as stream:
@@ -138,7 +139,7 @@
         self._up.set()
         self.first_answer.set()
 
-    def _drop(self) -> None:
+    def _disconnect(self) -> None:
         self._up.clear()
         self.stream.close()
         self.stream = self._new_stream(self.peer)
--- a/src/pomelobarrow/peers/liveness_changes.py
+++ b/src/pomelobarrow/peers/liveness_changes.py
@@ -1,4 +1,4 @@
-"""Tell when a member falls silent in this VM's view, or is heard again."""
+"""Report members that become silent in this VM's view or are live again."""
 
 from pomelobarrow.decision.member_record import Judgement
 from pomelobarrow.decision.membership import MembershipView
@@ -6,11 +6,11 @@
 
 
 def liveness_changes(view: MembershipView, now_unix_s: float) -> list[MemberLivenessChanged]:
-    """Return the members that are judged otherwise than at the last call."""
-    return [_judged(each) for each in view.changed_judgements(now_unix_s)]
+    """Return the members whose liveness has changed since the last call."""
+    return [_liveness_change(each) for each in view.changed_judgements(now_unix_s)]
 
 
-def _judged(judgement: Judgement) -> MemberLivenessChanged:
+def _liveness_change(judgement: Judgement) -> MemberLivenessChanged:
     return MemberLivenessChanged(
         member=judgement.member.vm,
         incarnation=judgement.member.incarnation,
--- a/src/pomelobarrow/peers/member_updates.py
+++ b/src/pomelobarrow/peers/member_updates.py
@@ -1,4 +1,4 @@
-"""Tell a peer which members changed and which were heard, and take in what it tells."""
+"""Exchange member descriptions with peers, and when each member was last seen."""
 
 from collections.abc import Iterable, Sequence
 
@@ -11,34 +11,35 @@
 from pomelobarrow.peers.grid import LinkKind, Neighbours, passes_on
 
 REFRESH_EVERY_S = 0.5
-# Two kilobytes, as long as all other news of a heartbeat.
+# Two kilobytes, as much as all other content of a heartbeat.
 KEYS_PER_HEARTBEAT = 512
 DESCRIPTIONS_PER_MESSAGE = 64
-# A peer that was asked answers at once; past this it is taken to be gone, and the next that tells
-# of a member is asked.
-ASKED_FOR_S = 1.5
-HEARD_PER_HEARTBEAT = 64
-# The time by which a word on a member must be newer than the last one to be told again: inside
-# the region, to another region of one's own members, and of third regions' members, which only
-# counts while those can't be reached directly.
-NEAR_WORD_EVERY_S = 0.1
-WORD_EVERY_S = 4.0
-OWN_REGION_WORD_EVERY_S = 3.0
-THIRD_REGION_WORD_EVERY_S = 10.0
-# Two hops of a second each, and a heartbeat lost on either.
-NEAR_WORD_TIMEOUT_S = 5.0
+# Peers answer a request at once. After this time the peer is considered gone, and the next one that
+# names the member is asked.
+REQUEST_TIMEOUT_S = 1.5
+LAST_SEEN_PER_HEARTBEAT = 64
+# A member's last-seen time is sent again once it is newer by this much than the one sent before:
+# about neighbours in a sparse region, inside the region about other regions' members, to another
+# region about own members, and to another region about third regions' members. The last one only
+# matters while the third region can't be reached directly.
+NEIGHBOUR_REPORT_INTERVAL_S = 0.1
+REPORT_INTERVAL_S = 4.0
+OWN_REGION_REPORT_INTERVAL_S = 3.0
+THIRD_REGION_REPORT_INTERVAL_S = 10.0
+# Two hops of one second each, with one heartbeat lost on either.
+INDIRECT_REPORT_TIMEOUT_S = 5.0
 AGE_UNIT_S = 0.1
 MAX_AGE_S = 60.0
 
 
 @define
 class SentMembers:
-    """Hold what one peer was told and has told of members."""
+    """Record what was sent to and received from one peer about members."""
 
     version: int = 0
-    # The descriptions that the peer has told of itself.
+    # Keys of the descriptions that the peer has named.
     known_keys: set[int] = field(factory=set)
-    # The descriptions that the peer has told of and this VM lacks, and those it was asked for.
+    # Keys that the peer has named and this VM lacks, and the keys that the peer was asked for.
     awaited_keys: dict[int, None] = field(factory=dict)
     asked_keys: set[int] = field(factory=set)
     heard_unix_s: dict[str, float] = field(factory=dict)
@@ -46,27 +47,27 @@
 
 @define
 class MemberUpdates:
-    """Follow the members' descriptions and where news of them came from.
+    """Exchange member descriptions and track from what kind of peer each member's updates come.
 
-    Peers tell each other the keys of descriptions and ask for those that they lack. Told whole over
-    each stream, the descriptions of 195 VMs took most of the bytes of a fleet's first seconds, and
-    each VM got each of them from every neighbour.
+    Peers send the keys of descriptions and request those that they lack. If each stream carried the
+    descriptions themselves, those of 195 VMs would make up most of the bytes of a fleet's first
+    seconds, and each VM would receive each of them from every neighbour.
     """
 
     view: MembershipView
     _version: int = 0
-    _version_of: dict[str, int] = field(factory=dict)
-    _described: dict[str, tuple[int, str, str]] = field(factory=dict)
-    # Each description's key now, and the member of each that was ever seen.
-    _description_key: dict[str, int] = field(factory=dict)
+    _version_by_vm: dict[str, int] = field(factory=dict)
+    _description_by_vm: dict[str, tuple[int, str, str]] = field(factory=dict)
+    # The key of each member's current description, and the VM of every description received so far.
+    _description_key_by_vm: dict[str, int] = field(factory=dict)
     _vm_by_description: dict[int, str] = field(factory=dict)
     _asked_until_unix_s: dict[int, float] = field(factory=dict)
     _refresh_unix_s: float = 0.0
     _known: tuple[Member, ...] = ()
-    _told: dict[LinkKind, Sequence[tuple[Member, float]]] = field(factory=dict)
-    _by_key: dict[int, tuple[str, int]] = field(factory=dict)
-    _key_of: dict[str, int] = field(factory=dict)
-    _came: dict[str, LinkKind] = field(factory=dict)
+    _reported_members: dict[LinkKind, Sequence[tuple[Member, float]]] = field(factory=dict)
+    _member_by_key: dict[int, tuple[str, int]] = field(factory=dict)
+    _key_by_vm: dict[str, int] = field(factory=dict)
+    _source_kind: dict[str, LinkKind] = field(factory=dict)
 
     def write(
         self,
@@ -77,15 +78,15 @@
         neighbours: Neighbours,
         now_unix_s: float,
     ) -> None:
-        """Add the keys of new descriptions and the members heard since the last time."""
+        """Add the keys of new descriptions, and when members were last seen, to a heartbeat."""
         self._refresh(now_unix_s)
         self._write_description_keys(heartbeat, sent)
-        for member, every_s in self._told_to(kind, neighbours):
+        for member, every_s in self._members_reported_to(kind, neighbours):
             heard_unix_s = self.view.heard_unix_s(member.vm)
             newer_s = heard_unix_s - sent.heard_unix_s.get(member.vm, 0.0)
             if newer_s >= every_s and member.vm != peer:
-                self._write_heard(heartbeat, sent, member.vm, heard_unix_s, now_unix_s)
-            if len(heartbeat.heard_keys) >= HEARD_PER_HEARTBEAT:
+                self._write_last_seen(heartbeat, sent, member.vm, heard_unix_s, now_unix_s)
+            if len(heartbeat.heard_keys) >= LAST_SEEN_PER_HEARTBEAT:
                 return
 
     def take(
@@ -97,80 +98,82 @@
         now_unix_s: float,
         sent_unix_s: float,
     ) -> None:
-        """Take in which descriptions the peer holds, then who was heard."""
+        """Apply the descriptions and last-seen times in a peer's heartbeat."""
         sent.known_keys.update(heartbeat.member_keys)
         behind_s = heartbeat.sent_unix_s - sent_unix_s
-        self.take_descriptions(heartbeat.members, heartbeat.vm, kind, now_unix_s, behind_s)
+        self.receive_descriptions(heartbeat.members, heartbeat.vm, kind, now_unix_s, behind_s)
         for key, age in zip(heartbeat.heard_keys, heartbeat.heard_ages, strict=False):
-            if key in self._by_key:
+            if key in self._member_by_key:
                 heard_unix_s = sent_unix_s - age * AGE_UNIT_S
-                self._take_heard(key, heard_unix_s, sent, kind, is_sparse, now_unix_s, heartbeat.vm)
+                self._apply_last_seen(
+                    key, heard_unix_s, sent, kind, is_sparse, now_unix_s, heartbeat.vm
+                )
 
-    def take_descriptions(
+    def receive_descriptions(
         self,
         summaries: Iterable[pb.MemberSummary],
-        told_by: str,
+        reported_by: str,
         kind: LinkKind,
         now_unix_s: float,
         clock_ahead_s: float,
     ) -> None:
-        """Take in descriptions; times in them are by a clock that is ahead of this VM's."""
-        is_news = False
+        """Apply descriptions whose times are given by a clock that is ahead of this VM's."""
+        has_any = False
         for summary in summaries:
-            is_news = True
+            has_any = True
             member = _summarized(summary, summary.heard_unix_s - clock_ahead_s)
-            # Whoever already hears of a member more freshly goes on passing that on.
+            # A VM that has a more recent report of a member continues to pass that one on.
             is_fresher = self.view.heard_unix_s(member.vm) < member.heard_unix_s
-            self.view.observe_summary(member, now_unix_s, told_by)
+            self.view.observe_summary(member, now_unix_s, reported_by)
             if is_fresher:
-                self._came[member.vm] = kind
-        self._refresh(now_unix_s, at_once=is_news)
+                self._source_kind[member.vm] = kind
+        self._refresh(now_unix_s, at_once=has_any)
 
-    def lacking(self, sent: SentMembers, keys: Iterable[int], now_unix_s: float) -> list[int]:
-        """Return the keys of descriptions to ask a peer for, but those asked of others just now.
+    def missing_keys(self, sent: SentMembers, keys: Iterable[int], now_unix_s: float) -> list[int]:
+        """Return the keys of descriptions to request, except those requested elsewhere just before.
 
-        A peer tells each key once, so that it is kept until this one or another has answered.
+        A peer sends each key once, so that it is kept until that peer or another has answered.
         """
         awaited, known = sent.awaited_keys, self._vm_by_description
         awaited.update(dict.fromkeys(keys))
         for key in [key for key in awaited if key in known]:
             del awaited[key]
         asked = self._asked_until_unix_s
-        lacking = [key for key in awaited if asked.get(key, 0.0) <= now_unix_s]
-        if lacking:
+        missing_keys = [key for key in awaited if asked.get(key, 0.0) <= now_unix_s]
+        if missing_keys:
             asked = {key: until for key, until in asked.items() if until > now_unix_s}
-            asked.update(dict.fromkeys(lacking, now_unix_s + ASKED_FOR_S))
+            asked.update(dict.fromkeys(missing_keys, now_unix_s + REQUEST_TIMEOUT_S))
             self._asked_until_unix_s = asked
-            sent.asked_keys.update(lacking)
-        return lacking
+            sent.asked_keys.update(missing_keys)
+        return missing_keys
 
     def note_answered(self, sent: SentMembers) -> None:
-        """Take in that a peer has answered; what it left out it doesn't know any more."""
+        """Note that a peer has answered; it no longer holds the descriptions that it left out."""
         for key in sent.asked_keys:
             sent.awaited_keys.pop(key, None)
         sent.asked_keys.clear()
 
     def describe(self, keys: Iterable[int]) -> list[pb.MemberSummary]:
-        """Return the descriptions of members that a peer asks for by key, as they are now."""
+        """Return the current descriptions of the members whose keys a peer requested."""
         vms = dict.fromkeys(vm for key in keys if (vm := self._vm_by_description.get(key)))
         members = (self.view.get(vm) for vm in vms)
         return [_summary(each, self.view.heard_unix_s(each.vm)) for each in members if each]
 
-    def heard_directly(self, vm: str, kind: LinkKind) -> None:
-        """Note that a member spoke itself."""
-        self._came[vm] = kind
+    def note_direct_contact(self, vm: str, kind: LinkKind) -> None:
+        """Note that a message came from the member itself."""
+        self._source_kind[vm] = kind
 
     def forget(self, vm: str) -> None:
-        """Drop a member that is gone for good."""
-        self._version_of.pop(vm, None)
-        self._described.pop(vm, None)
-        self._came.pop(vm, None)
-        self._by_key.pop(self._key_of.pop(vm, 0), None)
-        self._description_key.pop(vm, None)
+        """Drop a member that was removed for good."""
+        self._version_by_vm.pop(vm, None)
+        self._description_by_vm.pop(vm, None)
+        self._source_kind.pop(vm, None)
+        self._member_by_key.pop(self._key_by_vm.pop(vm, 0), None)
+        self._description_key_by_vm.pop(vm, None)
         for key in [key for key, of_vm in self._vm_by_description.items() if of_vm == vm]:
             del self._vm_by_description[key]
 
-    def _take_heard(
+    def _apply_last_seen(
         self,
         key: int,
         heard_unix_s: float,
@@ -178,76 +181,86 @@
         kind: LinkKind,
         is_sparse: bool,
         now_unix_s: float,
-        told_by: str,
+        reported_by: str,
     ) -> None:
-        vm, incarnation = self._by_key[key]
+        vm, incarnation = self._member_by_key[key]
         sent.heard_unix_s[vm] = max(sent.heard_unix_s.get(vm, 0.0), heard_unix_s)
         member = self.view.get(vm)
-        is_near = is_sparse and member is not None and member.region == self.view.own_region
-        timeout_s = NEAR_WORD_TIMEOUT_S if is_near else None
-        if self.view.observe_alive(vm, incarnation, heard_unix_s, now_unix_s, timeout_s, told_by):
-            self._came[vm] = kind
+        is_same_region = is_sparse and member is not None and member.region == self.view.own_region
+        timeout_s = INDIRECT_REPORT_TIMEOUT_S if is_same_region else None
+        if self.view.observe_alive(
+            vm, incarnation, heard_unix_s, now_unix_s, timeout_s, reported_by
+        ):
+            self._source_kind[vm] = kind
 
     def _refresh(self, now_unix_s: float, at_once: bool = False) -> None:
-        """Give each member whose description changed the next version."""
+        """Assign the next version to each member whose description changed."""
         if not at_once and now_unix_s < self._refresh_unix_s:
             return
         self._refresh_unix_s = now_unix_s + REFRESH_EVERY_S
         self._known = self.view.known()
-        self._told.clear()
+        self._reported_members.clear()
         for member in self._known:
             description = (member.incarnation, member.phase, member.successor)
-            if self._described.get(member.vm) != description:
-                self._described[member.vm] = description
+            if self._description_by_vm.get(member.vm) != description:
+                self._description_by_vm[member.vm] = description
                 self._version += 1
-                self._version_of[member.vm] = self._version
-                self._note_key(member)
-                self._note_description(member)
-
-    def _note_key(self, member: Member) -> None:
-        # Four bytes name a VM and its incarnation. Two of a few hundred share them once in tens
-        # of thousands of fleets; a dead one would then seem alive for as long as its twin lives,
-        # and a request forwarded to it would come back as not sent.
+                self._version_by_vm[member.vm] = self._version
+                self._index_member(member)
+                self._index_description(member)
+
+    def _index_member(self, member: Member) -> None:
+        # Four bytes identify a VM and its incarnation. Among a few hundred VMs a collision occurs
+        # once in tens of thousands of fleets. A dead VM would then seem alive for as long as the
+        # other one is, and a request forwarded to it would be reported as not sent.
         key = short_key(f"{member.vm}\0{member.incarnation}")
-        self._by_key.pop(self._key_of.get(member.vm, 0), None)
-        self._key_of[member.vm] = key
-        self._by_key[key] = (member.vm, member.incarnation)
+        self._member_by_key.pop(self._key_by_vm.get(member.vm, 0), None)
+        self._key_by_vm[member.vm] = key
+        self._member_by_key[key] = (member.vm, member.incarnation)
 
-    def _note_description(self, member: Member) -> None:
+    def _index_description(self, member: Member) -> None:
         text = f"{member.vm}\0{member.incarnation}\0{member.phase}\0{member.successor}"
         key = short_key(text)
-        self._description_key[member.vm] = key
+        self._description_key_by_vm[member.vm] = key
         self._vm_by_description[key] = member.vm
         self._asked_until_unix_s.pop(key, None)
 
     def _write_description_keys(self, heartbeat: pb.Heartbeat, sent: SentMembers) -> None:
         if sent.version == self._version:
             return
-        news = sorted((v, vm) for vm, v in self._version_of.items() if v > sent.version)
-        told = news[:KEYS_PER_HEARTBEAT]
-        keys = (self._description_key[vm] for _, vm in told)
+        changed = sorted((v, vm) for vm, v in self._version_by_vm.items() if v > sent.version)
+        sent_changes = changed[:KEYS_PER_HEARTBEAT]
+        keys = (self._description_key_by_vm[vm] for _, vm in sent_changes)
         heartbeat.member_keys.extend(key for key in keys if key not in sent.known_keys)
-        sent.version = told[-1][0] if len(told) < len(news) else self._version
-
-    def _told_to(self, kind: LinkKind, neighbours: Neighbours) -> Sequence[tuple[Member, float]]:
-        """Return the members that a kind of peer is told of, and how often."""
-        if kind not in self._told:
-            rules = ((each, self._word_every_s(each, kind, neighbours)) for each in self._known)
-            self._told[kind] = [(each, every_s) for each, every_s in rules if every_s is not None]
-        return self._told[kind]
-
-    def _word_every_s(self, member: Member, kind: LinkKind, neighbours: Neighbours) -> float | None:
+        sent.version = sent_changes[-1][0] if len(sent_changes) < len(changed) else self._version
+
+    def _members_reported_to(
+        self, kind: LinkKind, neighbours: Neighbours
+    ) -> Sequence[tuple[Member, float]]:
+        """Return the members that are reported to a kind of peer, with the intervals."""
+        if kind not in self._reported_members:
+            intervals = (
+                (each, self._report_interval_s(each, kind, neighbours)) for each in self._known
+            )
+            self._reported_members[kind] = [
+                (each, every_s) for each, every_s in intervals if every_s is not None
+            ]
+        return self._reported_members[kind]
+
+    def _report_interval_s(
+        self, member: Member, kind: LinkKind, neighbours: Neighbours
+    ) -> float | None:
         is_own_region = member.region == self.view.own_region
         if kind is LinkKind.OTHER_REGION:
-            return OWN_REGION_WORD_EVERY_S if is_own_region else THIRD_REGION_WORD_EVERY_S
+            return OWN_REGION_REPORT_INTERVAL_S if is_own_region else THIRD_REGION_REPORT_INTERVAL_S
         if is_own_region:
-            # In a sparse region the others hear of a neighbour's silence from its neighbours
-            # only, so they are told of its every heartbeat.
-            is_told = neighbours.is_sparse and member.vm in neighbours.all
-            return NEAR_WORD_EVERY_S if is_told else None
-        return WORD_EVERY_S if passes_on(self._came.get(member.vm), kind) else None
+            # In a sparse region other VMs learn only from a VM's neighbours that it is silent, so
+            # that each of its heartbeats is reported to them.
+            is_reported = neighbours.is_sparse and member.vm in neighbours.all
+            return NEIGHBOUR_REPORT_INTERVAL_S if is_reported else None
+        return REPORT_INTERVAL_S if passes_on(self._source_kind.get(member.vm), kind) else None
 
-    def _write_heard(
+    def _write_last_seen(
         self,
         heartbeat: pb.Heartbeat,
         sent: SentMembers,
@@ -256,7 +269,7 @@
         now_unix_s: float,
     ) -> None:
         age_s = now_unix_s - heard_unix_s
-        key = self._key_of.get(vm)
+        key = self._key_by_vm.get(vm)
         if key is None or not 0 <= age_s <= MAX_AGE_S:
             return
         sent.heard_unix_s[vm] = heard_unix_s
--- a/src/pomelobarrow/peers/plugin.py
+++ b/src/pomelobarrow/peers/plugin.py
@@ -37,7 +37,7 @@
 
 @hookimpl
 def provide_parts(context: Context) -> None:
-    """Register the peers' parts."""
+    """Register the components of this package."""
     context.provide(MembershipView, _view)
     context.provide(ClockOffsets, lambda _: ClockOffsets())
     context.provide(RegionLoads, lambda _: RegionLoads(started_unix_s=now_unix_s()))
@@ -65,13 +65,13 @@
 
 @hookimpl
 def not_ready_reason(context: Context) -> str | None:
-    """Say that this VM has yet to hear its peers."""
+    """Return a reason while this VM hasn't joined the fleet yet."""
     return None if context.get(Joining).is_joined else "joining the fleet"
 
 
 @hookimpl
 def status(context: Context) -> StatusSection:
-    """Say which peers are known and how they are reached."""
+    """Report the known peers and whether they are linked."""
     view, table, now = context.get(MembershipView), context.get(PeerTable), now_unix_s()
     suspects = view.suspects(now)
     members = {
@@ -88,19 +88,19 @@
 
 @hookimpl
 def reloaded(context: Context) -> None:
-    """Dial the seeds of the settings that were read again."""
+    """Use the seeds of the reloaded settings."""
     context.get(PeerTable).set_seeds(context.settings.peers.seeds)
 
 
 @hookimpl
 def drain(context: Context) -> Awaitable[None]:
-    """Leave the entries, wait for the work in progress, hand the ids over."""
+    """Announce that this VM leaves, wait for work in progress and hand the request ids over."""
     return _drain(context)
 
 
 @hookimpl
 def close(context: Context) -> Awaitable[None]:
-    """Let the answers to peers leave."""
+    """Wait until the answers to peers are sent."""
     return context.get(PeerServer).close()
 
 
@@ -206,7 +206,7 @@
         accepted=context.get(AcceptedStreams),
         observe=context.observe,
     )
-    context.get(CrashUpdates).broadcast = table.send_to_others
+    context.get(CrashUpdates).broadcast = table.broadcast_except
     return table
 
 
--- a/src/pomelobarrow/peers/pool_updates.py
+++ b/src/pomelobarrow/peers/pool_updates.py
@@ -1,4 +1,4 @@
-"""Tell a peer how loaded pools are here and elsewhere, and take in what it tells."""
+"""Exchange the loads of pools, of this region and of others, with peers."""
 
 import math
 from typing import Any
@@ -12,22 +12,22 @@
 from pomelobarrow.decision.stream_pauses import Engine
 from pomelobarrow.dispatch.local import LocalDispatch
 from pomelobarrow.peers import peers_pb2 as pb
-from pomelobarrow.peers.ages import age_ms, time_of
+from pomelobarrow.peers.ages import age_ms, unix_s_from_age
 from pomelobarrow.peers.grid import LinkKind, Neighbours, passes_on
 from pomelobarrow.peers.region_loads import RegionLoads
 from pomelobarrow.published.keyspaces import PublishedState
 
-# Summing up a pool of some hundred servers costs more than the rest of a heartbeat; all heartbeats
-# of this time share one sum.
-SUMMED_UP_EVERY_S = 1.0
-REGION_TOLD_EVERY_S = 1.5
-ROW_WAITING_GOOD_FOR_S = 2.0
+# Summing up a pool of several hundred servers costs more than the rest of a heartbeat, so that all
+# heartbeats of this interval share one summary.
+SUMMARY_INTERVAL_S = 1.0
+REGION_SEND_INTERVAL_S = 1.5
+ROW_WAITING_MAX_AGE_S = 2.0
 MIN_DRAIN_PER_S = 1e-6
 
 
 @define
 class SentPools:
-    """Hold what one peer was told of pools."""
+    """Record what was sent to one peer about pools."""
 
     waiting_pools: frozenset[str] = frozenset()
     measured_unix_s: dict[tuple[str, str], float] = field(factory=dict)
@@ -37,10 +37,10 @@
 class _Waiting:
     paying: int
     trial: int
-    heard_unix_s: float
+    received_unix_s: float
 
 
-NOBODY = _Waiting(paying=0, trial=0, heard_unix_s=0.0)
+NONE_WAITING = _Waiting(paying=0, trial=0, received_unix_s=0.0)
 
 
 @define(kw_only=True)
@@ -64,14 +64,14 @@
         neighbours: Neighbours,
         now_unix_s: float,
     ) -> None:
-        """Add what this peer can use."""
+        """Add the loads that this kind of peer needs."""
         if kind is LinkKind.OTHER_REGION:
             heartbeat.pools.extend(self._own_pools(now_unix_s))
             return
         row = neighbours.row if kind is LinkKind.COLUMN else frozenset()
         self._write_waiting(heartbeat, sent, row, now_unix_s)
         for load in self.region_loads.fresh(now_unix_s):
-            if passes_on(self.region_loads.came(load), kind):
+            if passes_on(self.region_loads.source_of(load), kind):
                 self._write_region(heartbeat, sent, load, now_unix_s)
 
     def take(
@@ -82,17 +82,17 @@
         now_unix_s: float,
         sent_unix_s: float,
     ) -> None:
-        """Take in what a peer tells of pools."""
+        """Apply the pool loads in a peer's heartbeat."""
         for each in heartbeat.pools:
             region = each.region or sender_region
             if region != self.own_region:
-                measured_unix_s = time_of(each.age_ms, sent_unix_s)
+                measured_unix_s = unix_s_from_age(each.age_ms, sent_unix_s)
                 load = self._region_load(heartbeat.vm, region, each, measured_unix_s, kind)
                 self.region_loads.observe(load, now_unix_s, kind)
             elif kind is not LinkKind.OTHER_REGION:
-                self._take_waiting(heartbeat.vm, each, now_unix_s)
+                self._apply_waiting(heartbeat.vm, each, now_unix_s)
 
-    def _take_waiting(self, vm: str, each: pb.PoolLoad, now_unix_s: float) -> None:
+    def _apply_waiting(self, vm: str, each: pb.PoolLoad, now_unix_s: float) -> None:
         paying, trial = each.waiting_paying, each.waiting_trial
         self._waiting[vm, each.pool] = _Waiting(paying, trial, now_unix_s)
         self.local.queue(each.pool).observe_peer_waiting(vm, paying, now_unix_s, trial)
@@ -100,29 +100,29 @@
     def _write_waiting(
         self, heartbeat: pb.Heartbeat, sent: SentPools, row: frozenset[str], now_unix_s: float
     ) -> None:
-        told = set()
+        sent_pools = set()
         for pool, queue in self.local.queues.items():
             of_row = [self._waiting_at(vm, pool, now_unix_s) for vm in row]
             paying = queue.waiting(Rank.PAYING) + sum(each.paying for each in of_row)
             trial = queue.waiting(Rank.TRIAL) + sum(each.trial for each in of_row)
             if paying or trial:
-                told.add(pool)
+                sent_pools.add(pool)
             if paying or trial or pool in sent.waiting_pools:
                 heartbeat.pools.append(
                     pb.PoolLoad(pool=pool, waiting_paying=paying, waiting_trial=trial)
                 )
-        sent.waiting_pools = frozenset(told)
+        sent.waiting_pools = frozenset(sent_pools)
 
     def _waiting_at(self, vm: str, pool: str, now_unix_s: float) -> _Waiting:
-        waiting = self._waiting.get((vm, pool), NOBODY)
-        is_fresh = now_unix_s - waiting.heard_unix_s <= ROW_WAITING_GOOD_FOR_S
-        return waiting if is_fresh else NOBODY
+        waiting = self._waiting.get((vm, pool), NONE_WAITING)
+        is_fresh = now_unix_s - waiting.received_unix_s <= ROW_WAITING_MAX_AGE_S
+        return waiting if is_fresh else NONE_WAITING
 
     def _write_region(
         self, heartbeat: pb.Heartbeat, sent: SentPools, load: RegionLoad, now_unix_s: float
     ) -> None:
         key = (load.region, load.pool)
-        if load.measured_unix_s - sent.measured_unix_s.get(key, 0.0) < REGION_TOLD_EVERY_S:
+        if load.measured_unix_s - sent.measured_unix_s.get(key, 0.0) < REGION_SEND_INTERVAL_S:
             return
         sent.measured_unix_s[key] = load.measured_unix_s
         heartbeat.pools.append(
@@ -157,10 +157,10 @@
         )
 
     def _own_pools(self, now_unix_s: float) -> list[pb.PoolLoad]:
-        if not 0 <= self._own_until_unix_s - now_unix_s <= SUMMED_UP_EVERY_S:
+        if not 0 <= self._own_until_unix_s - now_unix_s <= SUMMARY_INTERVAL_S:
             pools = {server.pool for server in self.published.backend_servers.values()}
             self._own = [self._own_pool(pool, now_unix_s) for pool in sorted(pools)]
-            self._own_until_unix_s = now_unix_s + SUMMED_UP_EVERY_S
+            self._own_until_unix_s = now_unix_s + SUMMARY_INTERVAL_S
         return self._own
 
     def _own_pool(self, pool: str, now_unix_s: float) -> pb.PoolLoad:
@@ -180,7 +180,7 @@
         )
 
     def _servers_for_others(self, pool: str, now_unix_s: float) -> int:
-        """Return how many servers other regions may count on; those with a limit hardly count."""
+        """Return how many servers other regions may use; limited ones count as one at most."""
         limits = self.local.table.limits
         servers = self.local.table.usable_servers(pool, now_unix_s)
         unlimited = sum(math.isinf(limits.limit_per_s(server)) for server in servers)
--- a/src/pomelobarrow/peers/region_loads.py
+++ b/src/pomelobarrow/peers/region_loads.py
@@ -1,38 +1,39 @@
-"""Keep what was heard of other regions' pools."""
+"""Store the loads received of other regions' pools."""
 
 from attrs import define, evolve, field
 
 from pomelobarrow.decision.region_choice import RegionLoad
 from pomelobarrow.peers.grid import LinkKind
 
-# A region silent for this long counts as lost, so that its return is a slow start.
+# A region without updates for this long counts as lost; when it returns, its load is ramped up
+# slowly.
 LOST_AFTER_S = 10.0
 
 
 @define
 class RegionLoads:
-    """Hold the newest load of each region and pool, in this VM's clock."""
+    """Store the newest load of each region and pool, with times by this VM's clock."""
 
     started_unix_s: float
     _loads: dict[tuple[str, str], RegionLoad] = field(factory=dict)
-    _came: dict[tuple[str, str], LinkKind] = field(factory=dict)
+    _sources: dict[tuple[str, str], LinkKind] = field(factory=dict)
 
     def observe(
-        self, load: RegionLoad, now_unix_s: float, came: LinkKind = LinkKind.OTHER_REGION
+        self, load: RegionLoad, now_unix_s: float, source: LinkKind = LinkKind.OTHER_REGION
     ) -> None:
-        """Take a load that is newer than the one held, and where it came from."""
+        """Store a load that is newer than the one held, and the kind of peer that sent it."""
         key = (load.region, load.pool)
         old = self._loads.get(key)
         if old is not None and load.measured_unix_s <= old.measured_unix_s:
             return
-        self._came[key] = came
-        # A region that was cut off since before this VM could hear it is as cold as one that it
-        # heard and lost; taken as new, it would get all its work back at once.
+        self._sources[key] = source
+        # A region that was partitioned before this VM received anything from it has caches as cold
+        # as one that was lost later. Treated as new, it would get all its work back at once.
         known_unix_s = self.started_unix_s if old is None else old.measured_unix_s
-        # A connection that was cut delivers what it held back first, heartbeats measured during
-        # the cut. The gap between two measurements is then shorter than the silence, and the
-        # region would take all its work back at once with cold caches. How long this VM has
-        # known nothing newer doesn't depend on what was held back.
+        # After a partition a connection first delivers the heartbeats that were buffered, which
+        # were measured during the partition. The gap between two measurements is then shorter than
+        # the partition, and the region would get all its work back at once with cold caches. The
+        # time for which this VM has had no newer load doesn't depend on what was buffered.
         was_lost = now_unix_s - known_unix_s > LOST_AFTER_S
         last = load if old is None else old
         self._loads[key] = evolve(
@@ -42,13 +43,13 @@
         )
 
     def for_pool(self, pool: str) -> dict[str, RegionLoad]:
-        """Return what each region's load of a pool was when last heard."""
+        """Return each region's last known load of a pool."""
         return {region: load for (region, name), load in self._loads.items() if name == pool}
 
     def fresh(self, now_unix_s: float) -> list[RegionLoad]:
-        """Return the loads worth passing on."""
+        """Return the loads that are recent enough to be passed on."""
         return [load for load in self._loads.values() if load.is_fresh(now_unix_s)]
 
-    def came(self, load: RegionLoad) -> LinkKind | None:
-        """Return what kind of peer told of a load."""
-        return self._came.get((load.region, load.pool))
+    def source_of(self, load: RegionLoad) -> LinkKind | None:
+        """Return the kind of peer that sent a load."""
+        return self._sources.get((load.region, load.pool))
--- a/src/pomelobarrow/peers/server.py
+++ b/src/pomelobarrow/peers/server.py
@@ -1,4 +1,4 @@
-"""Serve the other entry VMs."""
+"""Serve the calls of the other entry VMs."""
 
 import asyncio
 from collections.abc import Iterator, Mapping
@@ -16,7 +16,7 @@
 from pomelobarrow.kernel.clock import now_unix_s
 from pomelobarrow.kernel.context import Context
 from pomelobarrow.peers import peers_pb2 as pb
-from pomelobarrow.peers.calls import LOST
+from pomelobarrow.peers.calls import CONNECTION_ERRORS
 from pomelobarrow.peers.events import PeerRefused
 from pomelobarrow.peers.forward_server import ForwardServer
 from pomelobarrow.peers.hand_over import adopt_message
@@ -26,9 +26,9 @@
 from pomelobarrow.peers.streams import AcceptedStreams
 
 CLOSE_POLL_S = 0.02
-# A forward sent before its sender heard of the stop is still on its way.
-LAST_REFUSALS_S = 0.25
-# Once all work has ended, a call that stays open belongs to a peer that fell silent.
+# Time for forwards in transit that were sent before their sender learned that this VM stops.
+IN_TRANSIT_WAIT_S = 0.25
+# After all work has ended, a call that stays open belongs to a peer that stopped responding.
 CLOSE_TIMEOUT_S = 5.0
 SERVICE_PATH = "/pomelobarrow.peers.v1.Peer/"
 
@@ -36,7 +36,7 @@
 
 
 class PeerHandlers(PeerBase):
-    """Answer the calls of peers; any other caller is turned away first."""
+    """Answer the calls of peers; calls without a valid peer key are refused."""
 
     def __init__(
         self,
@@ -57,19 +57,19 @@
         self._open_calls = 0
 
     async def wait_until_answered(self) -> None:
-        """Return once no call but the exchange of heartbeats is open, or its peer is silent."""
+        """Wait until no call except Exchange is open, for at most CLOSE_TIMEOUT_S."""
         until_unix_s = now_unix_s() + CLOSE_TIMEOUT_S
         while self._open_calls and now_unix_s() < until_unix_s:
             await asyncio.sleep(CLOSE_POLL_S)
 
     async def Exchange(self, stream: Stream[pb.PeerMessage, pb.PeerMessage]) -> None:  # noqa: N802
-        """Exchange messages with a peer for as long as its stream lasts."""
-        vm = self._peer(stream.metadata, "Exchange")
+        """Exchange messages with a peer until its stream ends."""
+        vm = self._authenticated_vm(stream.metadata, "Exchange")
         open_stream = self._make_stream(ListedVm(vm=vm))
         self._accepted.add(open_stream)
         try:
             await open_stream.accepted(stream)
-        except LOST as error:
+        except CONNECTION_ERRORS as error:
             log.debug("accepted stream lost", peer=vm, error=repr(error))
         finally:
             self._accepted.remove(open_stream)
@@ -78,22 +78,22 @@
         self, stream: Stream[pb.ForwardRequest, pb.ForwardEvent]
     ) -> None:
         """Run a request here or refuse it."""
-        vm = self._peer(stream.metadata, "Forward")
-        with self._counted():
+        vm = self._authenticated_vm(stream.metadata, "Forward")
+        with self._count_call():
             await self._forwards.forward(stream, vm)
             await _flush(stream)
 
     async def Resume(self, stream: Stream[pb.ResumeRequest, pb.ForwardEvent]) -> None:  # noqa: N802
-        """Fetch the rest of a forwarded stream."""
-        vm = self._peer(stream.metadata, "Resume")
-        with self._counted():
+        """Relay the rest of a forwarded stream."""
+        vm = self._authenticated_vm(stream.metadata, "Resume")
+        with self._count_call():
             await self._forwards.resume(stream, vm)
             await _flush(stream)
 
     async def Cancel(self, stream: Stream[pb.CancelRequest, pb.CancelReply]) -> None:  # noqa: N802
-        """Drop a forwarded request."""
-        vm = self._peer(stream.metadata, "Cancel")
-        with self._counted():
+        """Cancel a forwarded request."""
+        vm = self._authenticated_vm(stream.metadata, "Cancel")
+        with self._count_call():
             message = await stream.recv_message()
             if message is not None:
                 outcome = await self._forwards.cancel(message, vm)
@@ -102,22 +102,22 @@
     async def HandOver(  # noqa: N802
         self, stream: Stream[pb.HandOverRequest, pb.HandOverReply]
     ) -> None:
-        """Take over the request ids of a stopping VM."""
-        self._peer(stream.metadata, "HandOver")
+        """Adopt the request ids of a stopping VM."""
+        self._authenticated_vm(stream.metadata, "HandOver")
         message = await stream.recv_message()
         if message is not None:
             accepted = not self._context.is_draining and adopt_message(self._ledger, message)
             await stream.send_message(pb.HandOverReply(accepted=accepted))
 
     @contextmanager
-    def _counted(self) -> Iterator[None]:
+    def _count_call(self) -> Iterator[None]:
         self._open_calls += 1
         try:
             yield
         finally:
             self._open_calls -= 1
 
-    def _peer(self, metadata: Mapping[str, object] | None, method: str) -> str:
+    def _authenticated_vm(self, metadata: Mapping[str, object] | None, method: str) -> str:
         path = SERVICE_PATH + method
         vm = self._keys.caller_vm(metadata or {}, path)
         if vm is None:
@@ -130,7 +130,7 @@
 
 
 class PeerServer(Service):
-    """Listen for peers."""
+    """Listen for calls of peers."""
 
     def __init__(self, context: Context, handlers: PeerHandlers) -> None:
         super().__init__()
@@ -144,8 +144,8 @@
         await self._server.start(host, int(port))
 
     async def close(self) -> None:
-        """Refuse what is still on its way; return once every answer has left this process."""
-        await asyncio.sleep(LAST_REFUSALS_S)
+        """Refuse the requests in transit, and wait until every answer has left this process."""
+        await asyncio.sleep(IN_TRANSIT_WAIT_S)
         await self._handlers.wait_until_answered()
 
     async def on_stop(self) -> None:
@@ -155,7 +155,7 @@
 
 
 async def _flush(stream: Stream[Any, pb.ForwardEvent]) -> None:
-    """Return once the transport is empty: what it still holds is lost when the process ends."""
+    """Wait until the transport's buffer is empty; its content is lost when the process ends."""
     # grpclib has no public way to the transport.
     transport = stream.peer._transport if stream.peer else None
     while transport and transport.get_write_buffer_size() and not transport.is_closing():
--- a/src/pomelobarrow/peers/server_updates.py
+++ b/src/pomelobarrow/peers/server_updates.py
@@ -1,4 +1,4 @@
-"""Tell a peer what changed on the region's backend servers, and take in what it tells."""
+"""Exchange the loads and limits of the region's backend servers with peers."""
 
 from collections.abc import Callable, Iterable, Mapping
 
@@ -8,24 +8,24 @@
 from pomelobarrow.decision.short_key import short_key
 from pomelobarrow.decision.work import BackendServer, InFlight, LoadReport
 from pomelobarrow.peers import peers_pb2 as pb
-from pomelobarrow.peers.ages import age_ms, time_of
+from pomelobarrow.peers.ages import age_ms, unix_s_from_age
 from pomelobarrow.peers.grid import LinkKind, passes_on
 
 PASSED_ON_FOR_S = 5.0
-NOTHING = InFlight()
-# A limit above it is none.
+NONE_IN_FLIGHT = InFlight()
+# Limits above this value are ignored.
 MAX_LIMIT_PER_S = 1e9
 MAX_AGE_MS = 2**32 - 1
-NEVER_TOLD = -1.0
+NEVER_SENT = -1.0
 
 
 @define
 class SentServers:
-    """Hold what one peer was told of servers."""
+    """Record what was sent to one peer about servers."""
 
     in_flight: dict[int, InFlight] = field(factory=dict)
     measured_unix_s: dict[str, float] = field(factory=dict)
-    # Limits told or heard on the stream, None where one has ended.
+    # Limits sent on the stream by server key; None for a limit that has ended.
     limits_per_s: dict[int, float | None] = field(factory=dict)
 
 
@@ -37,9 +37,9 @@
     servers: Callable[[], Mapping[str, BackendServer]]
     own_reports: Callable[[], Iterable[LoadReport]]
     _counts: dict[str, dict[int, InFlight]] = field(factory=dict)
-    # Reports that neighbours of the row polled, to be passed on along the column.
+    # Reports polled by neighbours of the row, to be passed on along the column.
     _row_reports: dict[str, LoadReport] = field(factory=dict)
-    _named: Mapping[str, BackendServer] | None = None
+    _keyed_servers: Mapping[str, BackendServer] | None = None
     _name_by_key: dict[int, str] = field(factory=dict)
     _keys: dict[str, int] = field(factory=dict)
 
@@ -59,25 +59,25 @@
     def take(
         self, heartbeat: pb.Heartbeat, kind: LinkKind, now_unix_s: float, sent_unix_s: float
     ) -> None:
-        """Take in a peer's counts and the reports it tells of."""
+        """Apply the counts, limits and reports in a peer's heartbeat."""
         names = self._names()
         counts = self._merge_counts(heartbeat)
         by_name = {names[key]: count for key, count in counts.items() if key in names}
         self.table.observe_peer(heartbeat.vm, by_name, now_unix_s)
-        self._take_limits(heartbeat, sent_unix_s)
+        self._apply_limits(heartbeat, sent_unix_s)
         for each in heartbeat.reports:
             name = names.get(each.server_key)
             if name is None:
                 continue
-            report = _report(name, each, time_of(each.age_ms, sent_unix_s))
+            report = _report(name, each, unix_s_from_age(each.age_ms, sent_unix_s))
             self.table.observe_report(report, now_unix_s)
-            # Of glimpses each VM has its own, and hears those of all its neighbours.
+            # Each VM gets partial reports of its own and those of all its neighbours.
             is_passed_on = each.is_passed_on or each.is_glimpse
             if kind is LinkKind.ROW and not is_passed_on:
                 self._row_reports[name] = report
 
     def forget(self, vm: str) -> None:
-        """Drop what a peer told."""
+        """Drop the counts received from a peer."""
         self._counts.pop(vm, None)
 
     def _merge_counts(self, heartbeat: pb.Heartbeat) -> dict[int, InFlight]:
@@ -101,8 +101,8 @@
         self._names()
         own = {self._key(name): count for name, count in self.table.in_flight().items()}
         for key in sent.in_flight.keys() | own.keys():
-            count = own.get(key, NOTHING)
-            if sent.in_flight.get(key, NOTHING) != count:
+            count = own.get(key, NONE_IN_FLIGHT)
+            if sent.in_flight.get(key, NONE_IN_FLIGHT) != count:
                 heartbeat.server_keys.append(key)
                 heartbeat.in_flight_requests.append(count.requests)
                 heartbeat.in_flight_tokens.append(count.tokens)
@@ -134,13 +134,13 @@
         )
 
     def _write_limits(self, heartbeat: pb.Heartbeat, sent: SentServers, now_unix_s: float) -> None:
-        """Add the limits that changed; whoever hears one tells its own neighbours."""
-        told = sent.limits_per_s
+        """Add the limits that changed; a VM that receives one sends it to its own neighbours."""
+        sent_before = sent.limits_per_s
         sent.limits_per_s = {}
         for incarnation, limit in self.table.limits.named.items():
             key = short_key(incarnation)
             sent.limits_per_s[key] = limit.per_s
-            if told.get(key, NEVER_TOLD) != limit.per_s:
+            if sent_before.get(key, NEVER_SENT) != limit.per_s:
                 heartbeat.limits.append(
                     pb.ServerLimit(
                         server_key=key,
@@ -150,14 +150,14 @@
                     )
                 )
 
-    def _take_limits(self, heartbeat: pb.Heartbeat, sent_unix_s: float) -> None:
+    def _apply_limits(self, heartbeat: pb.Heartbeat, sent_unix_s: float) -> None:
         servers, names = self.servers(), self._names()
-        for told in heartbeat.limits:
-            server = servers.get(names.get(told.server_key, ""))
-            if server is None or not 0.0 <= told.per_s <= MAX_LIMIT_PER_S:
+        for message in heartbeat.limits:
+            server = servers.get(names.get(message.server_key, ""))
+            if server is None or not 0.0 <= message.per_s <= MAX_LIMIT_PER_S:
                 continue
-            per_s = None if told.has_ended else told.per_s
-            named_unix_s = time_of(told.age_ms, sent_unix_s)
+            per_s = None if message.has_ended else message.per_s
+            named_unix_s = unix_s_from_age(message.age_ms, sent_unix_s)
             self.table.limits.observe(server.incarnation, per_s, named_unix_s)
 
     def _drop_old_reports(self, now_unix_s: float) -> None:
@@ -167,21 +167,21 @@
                 del self._row_reports[name]
 
     def _key(self, name: str) -> int:
-        # Four bytes name a server. Two of a few hundred share them once in tens of thousands of
-        # fleets; their loads would then count for one of them only, and own charges and reports
-        # of the other would go on without the peers' part.
+        # Four bytes identify a server. Among a few hundred servers a collision occurs once in tens
+        # of thousands of fleets. The loads of both would then count for one of them only, and the
+        # other would be rated by this VM's own charges and reports without those of peers.
         key = self._keys.get(name)
         if key is None:
             server = self.servers().get(name)
-            # News of the incarnation before has another key, and isn't taken for this one's.
+            # Updates about the previous incarnation have another key, and don't apply to this one.
             identity = server.incarnation if server is not None else name
             key = self._keys[name] = short_key(identity)
         return key
 
     def _names(self) -> dict[int, str]:
         servers = self.servers()
-        if servers is not self._named:
-            self._named = servers
+        if servers is not self._keyed_servers:
+            self._keyed_servers = servers
             self._keys.clear()
             own_region = self.table.own_region
             names = [each.name for each in servers.values() if each.region == own_region]
--- a/src/pomelobarrow/peers/service_time_updates.py
+++ b/src/pomelobarrow/peers/service_time_updates.py
@@ -1,53 +1,53 @@
-"""Tell a neighbour what a pool's servers take and are sent, as seen here, and take in the same."""
+"""Exchange the service times of pools and the prompt tokens sent to them with neighbours."""
 
 from attrs import define, field
 
 from pomelobarrow.decision.load_table import LoadTable
 from pomelobarrow.peers import peers_pb2 as pb
 
-# Learned times move slowly; sooner, the sums would be a third of a heartbeat's bytes.
-TOLD_EVERY_S = 2.0
-# Less than a short prompt in ten seconds; what was told before fades as fast by itself.
-LEAST_TOLD_PER_S = 50.0
+# Learned times change slowly. Sent more often, the sums would be a third of a heartbeat's bytes.
+SEND_INTERVAL_S = 2.0
+# Less than a short prompt in ten seconds. The rate sent before decays as fast by itself.
+MIN_SENT_PER_S = 50.0
 
 
 @define
 class SentServiceTimes:
-    """Hold what one peer was told: by pool, how many samples, and when it may be told again."""
+    """Record by pool the samples sent to one peer and when the next sums may be sent."""
 
     samples: dict[str, int] = field(factory=dict)
     next_unix_s: dict[str, float] = field(factory=dict)
-    reading_told: set[str] = field(factory=set)
+    reading_rate_sent: set[str] = field(factory=set)
 
 
 @define
 class ServiceTimeUpdates:
-    """Exchange the sums of learned times with the neighbours of the region."""
+    """Exchange the sums of learned service times with the neighbours in the region."""
 
     table: LoadTable
 
     def write(self, heartbeat: pb.Heartbeat, sent: SentServiceTimes, now_unix_s: float) -> None:
-        """Add the pools of which this VM has seen more, or to which it sends prompts."""
+        """Add the pools with new samples and those to which this VM sends prompts."""
         for pool, times in self.table.all_service_times():
-            told = pb.PoolTimes(pool=pool)
-            told.reading_tokens_per_s = self.table.reading.own_per_s(pool, now_unix_s)
-            is_news = times.samples > sent.samples.get(pool, 0)
-            if is_news and now_unix_s >= sent.next_unix_s.get(pool, 0.0):
+            entry = pb.PoolTimes(pool=pool)
+            entry.reading_tokens_per_s = self.table.reading.own_per_s(pool, now_unix_s)
+            has_new_samples = times.samples > sent.samples.get(pool, 0)
+            if has_new_samples and now_unix_s >= sent.next_unix_s.get(pool, 0.0):
                 sent.samples[pool] = times.samples
-                sent.next_unix_s[pool] = now_unix_s + TOLD_EVERY_S
-                told.sums.extend(times.own_sums())
-            # Told once of a pool, the peer takes silence for nothing sent there.
-            is_first = pool not in sent.reading_told
-            if told.sums or is_first or told.reading_tokens_per_s >= LEAST_TOLD_PER_S:
-                sent.reading_told.add(pool)
-                heartbeat.times.append(told)
+                sent.next_unix_s[pool] = now_unix_s + SEND_INTERVAL_S
+                entry.sums.extend(times.own_sums())
+            # Once a peer has an entry for a pool, it takes a missing one for a rate of zero.
+            is_first = pool not in sent.reading_rate_sent
+            if entry.sums or is_first or entry.reading_tokens_per_s >= MIN_SENT_PER_S:
+                sent.reading_rate_sent.add(pool)
+                heartbeat.times.append(entry)
 
     def take(self, heartbeat: pb.Heartbeat, now_unix_s: float) -> None:
-        """Take in what a neighbour has seen and sends."""
+        """Apply the service times and prompt rates in a neighbour's heartbeat."""
         vm, table = heartbeat.vm, self.table
-        for told in heartbeat.times:
-            if not table.pool_servers(told.pool):
+        for entry in heartbeat.times:
+            if not table.pool_servers(entry.pool):
                 continue
-            table.reading.observe_peer(vm, told.pool, told.reading_tokens_per_s, now_unix_s)
-            if told.sums:
-                table.service_times(told.pool).observe_peer(vm, told.sums)
+            table.reading.observe_peer(vm, entry.pool, entry.reading_tokens_per_s, now_unix_s)
+            if entry.sums:
+                table.service_times(entry.pool).observe_peer(vm, entry.sums)
--- a/src/pomelobarrow/peers/streams.py
+++ b/src/pomelobarrow/peers/streams.py
@@ -1,4 +1,4 @@
-"""Exchange messages with one peer over an open stream, whichever of the two has dialed it."""
+"""Exchange messages with one peer over an open stream, whichever of the two VMs dialed it."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,12 +14,13 @@
 from pomelobarrow.peers.exchange import Exchange
 from pomelobarrow.peers.heartbeats import Heartbeats, SentUpdates
 
-# Both ends send a heartbeat each second. Three missing ones mean that the connection was
-# forgotten on its way or that the peer is gone; a new connection tells the two apart.
+# Both ends send a heartbeat each second. If three are missing, either the network dropped the
+# connection or the peer is gone; a new connection shows which.
 SILENT_AFTER_S = 3.2
 FLUSH_CHECK_EVERY_S = 0.01
 RESET_TIMEOUT_S = 0.2
-# Closing holds up the review of all streams; a peer that reads nothing would hold it up for longer.
+# Closing blocks the review of all streams; without this limit, a peer that doesn't read would block
+# it for longer.
 CLOSING_TIMEOUT_S = 0.2
 
 log = structlog.get_logger(__name__)
@@ -27,20 +28,20 @@
 
 @define(eq=False)
 class PeerStream:
-    """Hold one stream: who is at its other end, what was told on it, what waits to be sent.
+    """Run one stream: its peer, what was sent on it and the messages queued for it.
 
-    Both ends send heartbeats on it. With a stream of its own for each direction, and a short answer
-    to each heartbeat, a VM with 14 neighbours sent and took twice as many messages.
+    Both ends send heartbeats on it. With one stream per direction and a short answer to each
+    heartbeat, a VM with 14 neighbours would send and receive twice as many messages.
     """
 
     peer: ListedVm
     own_region: str
     exchange: Exchange
     heartbeats: Heartbeats
-    # Whether the other end has spoken. The system of a frozen VM still accepts connections, so that
-    # a stream that is merely open says nothing.
+    # Whether the other end has sent a message. The operating system of a paused VM still accepts
+    # connections, so that an open stream alone doesn't show that the peer is running.
     is_up: bool = False
-    last_heard_unix_s: float = 0.0
+    last_seen_unix_s: float = 0.0
     on_up: Callable[[], None] = lambda: None
     _is_open: bool = False
     _sent: SentUpdates = field(factory=SentUpdates)
@@ -48,25 +49,25 @@
     _unsent: int = 0
 
     def send(self, message: pb.PeerMessage) -> None:
-        """Queue a message; it is lost if the connection is."""
+        """Queue a message; it is lost if the connection is lost."""
         if self._is_open:
             self._unsent += 1
             self._outbox.put_nowait(message)
 
     def send_heartbeat(self) -> None:
-        """Send a heartbeat with what is new to the peer."""
+        """Send a heartbeat with the changes since the last one."""
         if not self._is_open:
             return
         is_first = self._sent.is_new
-        is_near = self.peer.region == self.own_region
-        heartbeat = self.heartbeats.full(self.peer.vm, is_near, self._sent)
+        is_same_region = self.peer.region == self.own_region
+        heartbeat = self.heartbeats.full(self.peer.vm, is_same_region, self._sent)
         self.send(pb.PeerMessage(heartbeat=heartbeat))
         if is_first:
-            for message in self.exchange.crash_updates.whole():
+            for message in self.exchange.crash_updates.all_messages():
                 self.send(message)
 
-    async def say_closing(self) -> None:
-        """Tell the peer that this stream ends by choice; return once that is on its way."""
+    async def send_closing(self) -> None:
+        """Tell the peer that this stream is closed on purpose, and wait until that is sent."""
         self.send(pb.PeerMessage(closing=pb.Closing()))
         with suppress(TimeoutError):
             async with asyncio.timeout(CLOSING_TIMEOUT_S):
@@ -78,20 +79,20 @@
             await asyncio.sleep(FLUSH_CHECK_EVERY_S)
 
     async def dialed(self, stream: Any) -> None:
-        """Speak first, then converse until the stream ends; raise one of LOST where it is lost."""
+        """Send a heartbeat, then run until the end; raise one of CONNECTION_ERRORS if lost."""
         self._is_open = True
         self.send_heartbeat()
         try:
-            await self._converse(stream)
+            await self._run(stream)
         finally:
             await _reset(stream)
 
     async def accepted(self, stream: Any) -> None:
-        """Converse until the stream ends; raise one of LOST where it is lost."""
+        """Run until the stream ends; raise one of CONNECTION_ERRORS if it is lost."""
         self._is_open = True
-        await self._converse(stream)
+        await self._run(stream)
 
-    async def _converse(self, stream: Any) -> None:
+    async def _run(self, stream: Any) -> None:
         tasks = [
             asyncio.create_task(self._send_all(stream)),
             asyncio.create_task(self._receive_all(stream)),
@@ -107,7 +108,7 @@
             await asyncio.gather(*tasks, return_exceptions=True)
 
     def close(self) -> None:
-        """Queue nothing more."""
+        """Stop queueing messages."""
         self.is_up = self._is_open = False
 
     async def _send_all(self, stream: Any) -> None:
@@ -123,10 +124,10 @@
                 message = await stream.recv_message()
             if message is None:
                 return
-            self._take(message)
+            self._handle(message)
 
-    def _take(self, message: pb.PeerMessage) -> None:
-        self.last_heard_unix_s = now_unix_s()
+    def _handle(self, message: pb.PeerMessage) -> None:
+        self.last_seen_unix_s = now_unix_s()
         is_first = not self.is_up
         if message.WhichOneof("kind") == "heartbeat":
             self._note_peer(message.heartbeat)
@@ -136,12 +137,12 @@
         self.is_up = True
         self.on_up()
         log.info("peer link up", peer=self.peer.vm, region=self.peer.region)
-        # Whoever accepted the stream hears from its first message where the peer is.
+        # The accepting end learns the peer's region from the first message, and then sends its own.
         if self._sent.is_new:
             self.send_heartbeat()
 
     def _note_peer(self, heartbeat: pb.Heartbeat) -> None:
-        """Take the peer's own name and region; a seed has only an address until it says them."""
+        """Set the peer's own name and region; a seed has only an address until it sends them."""
         region = heartbeat.region or self.peer.region
         if (heartbeat.vm, region) != (self.peer.vm, self.peer.region):
             self.peer = ListedVm(
@@ -151,27 +152,27 @@
 
 @define
 class AcceptedStreams:
-    """Hold the streams that peers have opened to this VM, oldest first.
+    """Track the streams that peers have opened to this VM, oldest first.
 
-    A VM may have two to another for a moment, and closes either.
+    A VM may briefly have two streams to another one, and may close either.
     """
 
     _streams: list[PeerStream] = field(factory=list)
 
     def add(self, stream: PeerStream) -> None:
-        """Take a stream that a peer has opened."""
+        """Add a stream that a peer has opened."""
         self._streams.append(stream)
 
     def remove(self, stream: PeerStream) -> None:
-        """Drop a stream that has ended."""
+        """Remove a stream that has ended."""
         self._streams.remove(stream)
 
     def all(self) -> list[PeerStream]:
-        """Return the streams on which the peer has spoken."""
+        """Return the streams on which the peer has sent a message."""
         return [stream for stream in self._streams if stream.is_up]
 
     def up(self) -> dict[str, PeerStream]:
-        """Return each peer's newest stream on which it has spoken, by the peer's name."""
+        """Return, by peer name, each peer's newest stream on which it has sent a message."""
         return {stream.peer.vm: stream for stream in self._streams if stream.is_up}
 
 
@@ -180,4 +181,4 @@
         async with asyncio.timeout(RESET_TIMEOUT_S):
             await stream.cancel()
     except Exception as error:
-        log.debug("stream was gone", error=repr(error))
+        log.debug("stream already closed", error=repr(error))
--- a/src/pomelobarrow/peers/table.py
+++ b/src/pomelobarrow/peers/table.py
@@ -1,4 +1,4 @@
-"""Decide which peers to keep links to, and keep them."""
+"""Choose the peers to keep links to, and open and close the links."""
 
 import asyncio
 import random
@@ -25,23 +25,24 @@
 
 REVIEW_EVERY_S = 0.5
 HEARTBEAT_EVERY_S = 1.0
-# VMs that beat in step would all be woken by all others at once.
-HEARTBEAT_SPREAD = 0.1
-# Most of a fleet is known by then; a server that leaves meanwhile is served for 3 s.
+# Without jitter, VMs in phase would each receive the heartbeats of all others at once.
+HEARTBEAT_JITTER = 0.1
+# Most of a fleet is known after this time. A server that leaves in the meantime goes on serving for
+# 3 s.
 SETTLE_S = 2.0
-# Members are forgotten after minutes, so that it doesn't matter which second.
+# Members are dropped after minutes, so that the check need not be exact to the second.
 FORGET_EVERY_S = 5.0
-# Of two VMs the one first by name dials; the other waits for its stream this long.
+# Of two VMs the one with the lower name dials; the other waits this long before it dials itself.
 AWAIT_STREAM_S = 1.0
 ON_DEMAND_KEPT_S = 60.0
 SEED_PREFIX = "seed "
-# Of a region that doesn't answer, this many listed VMs are tried at a time, the next ones in turn:
-# the list lags, and the first two may long be gone.
+# In a region that doesn't answer, this many listed VMs are tried at a time, in rotation: the list
+# may be outdated, and its first two VMs may no longer exist.
 CONTACTS_TRIED = 2
-# With more other regions than this each relay links to its partner there only. In a fleet of many
-# regions the links between them cost a small region's VMs more than all else.
+# With more other regions than this, each relay links only to its partner in each region. In a fleet
+# of many regions, the links between them would cost a small region's VMs more than all else.
 ALL_PAIRS_UP_TO_REGIONS = 4
-CONTACT_TURN_S = 10.0
+CONTACT_ROTATION_S = 10.0
 
 STARTING = Phase.STARTING.value
 
@@ -49,7 +50,7 @@
 
 
 class PeerTable(Service):
-    """Hold the links: neighbours in the region, a few relays to others, and those in use."""
+    """Keep links to neighbours in the region, to relays in other regions and to VMs in use."""
 
     def __init__(
         self,
@@ -65,7 +66,7 @@
     ) -> None:
         super().__init__()
         self.links: dict[str, PeerLink] = {}
-        # Called after each review.
+        # Callbacks that run after each review.
         self.review_listeners: list[Callable[[], None]] = []
         self._view = view
         self._published = published
@@ -79,18 +80,18 @@
         self._suspects: frozenset[str] = frozenset()
         self._forget_at_unix_s = 0.0
         self._settled_unix_s = now_unix_s() + SETTLE_S
-        # Until then a peer's stream is awaited.
+        # Until when each peer is expected to dial.
         self._awaited_until_unix_s: dict[str, float] = {}
         self._pauses = PauseDetector(REVIEW_EVERY_S)
         self._random = random.Random()
         published.listeners.append(self._on_applied)
 
     async def on_start(self) -> None:
-        """Dial the seeds, so that a VM can join while the platform is out of reach."""
+        """Dial the seeds, so that a VM can join while the platform is unreachable."""
         await self._dial_seeds()
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Use other seeds from the next time that nobody can be reached."""
+        """Replace the seeds; they are dialed the next time that no peer is reachable."""
         self._seeds = seeds
 
     async def _dial_seeds(self) -> None:
@@ -107,20 +108,20 @@
             await asyncio.sleep(REVIEW_EVERY_S)
 
     @Service.task
-    async def _beat_all(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while not self.should_stop:
             for stream in self._all_streams():
                 stream.send_heartbeat()
-            spread = self._random.uniform(1.0 - HEARTBEAT_SPREAD, 1.0 + HEARTBEAT_SPREAD)
-            await asyncio.sleep(HEARTBEAT_EVERY_S * spread)
+            jitter = self._random.uniform(1.0 - HEARTBEAT_JITTER, 1.0 + HEARTBEAT_JITTER)
+            await asyncio.sleep(HEARTBEAT_EVERY_S * jitter)
 
     async def review(self) -> None:
-        """Open the links that are wanted and close the others."""
+        """Open the wanted links and close the others."""
         now = now_unix_s()
         for change in liveness_changes(self._view, now):
             self._observe(change)
-        self._name_seeds()
-        # After a long cut all peers are forgotten; without the seeds nobody would be asked again.
+        self._rekey_seed_links()
+        # After a long partition all peers have been dropped, and only the seeds are left to dial.
         if not self.reachable():
             await self._dial_seeds()
         wanted = self._wanted(now)
@@ -145,11 +146,11 @@
             self._exchange.forget(vm)
 
     def _to_dial(self, wanted: dict[str, ListedVm], now: float) -> list[str]:
-        """Return the wanted peers without a stream that aren't about to open one.
+        """Return the wanted peers to dial: those without a stream that aren't expected to dial.
 
-        One stream for each two VMs carries what both say. Either may be unable to dial the other,
-        so that none waits for long; a VM that starts waits for nobody, since it serves only once it
-        has heard the others.
+        One stream per pair of VMs carries the messages of both. Either VM may be unable to dial the
+        other, so that the wait is short. A starting VM doesn't wait, because it serves only once it
+        has received the others' heartbeats.
         """
         accepted, is_starting = self._accepted.up(), self._view.own.phase == STARTING
         missing = [vm for vm in wanted if vm not in self.links and vm not in accepted]
@@ -161,30 +162,30 @@
             vm for vm in missing if is_starting or self._view.own_vm < vm or now >= until_unix_s[vm]
         ]
 
-    def _name_seeds(self) -> None:
-        """Keep a seed's link under the name of the VM that answered on it."""
+    def _rekey_seed_links(self) -> None:
+        """File a seed's link under the name of the VM that answered on it."""
         for key in [each for each in self.links if each.startswith(SEED_PREFIX)]:
             vm = self.links[key].peer.vm
             if vm != key and vm not in self.links:
                 self.links[vm] = self.links.pop(key)
 
     async def link_to(self, member: Member) -> PeerLink:
-        """Return a link to a peer, opening it for a while where none is kept."""
+        """Return a link to a peer; open one for ON_DEMAND_KEPT_S if there is none."""
         self._on_demand_until_unix_s[member.vm] = now_unix_s() + ON_DEMAND_KEPT_S
         link = self.links.get(member.vm)
         return link if link is not None else await self._open(_listed(member))
 
     def is_linked(self, vm: str) -> bool:
-        """Tell whether a peer speaks on an open stream, whoever has dialed it."""
+        """Return whether a peer sends on an open stream, whichever VM dialed it."""
         link = self.links.get(vm)
         return (link is not None and link.is_up) or vm in self._accepted.up()
 
     def reachable(self) -> list[str]:
-        """Return the peers that speak on an open stream."""
+        """Return the peers that send on an open stream."""
         return list(self._streams_up())
 
     def _streams_up(self) -> dict[str, PeerStream]:
-        """Return one open stream to each peer that speaks."""
+        """Return one open stream for each peer that sends on one."""
         dialed = {link.peer.vm: link.stream for link in self.links.values() if link.is_up}
         return self._accepted.up() | dialed
 
@@ -197,34 +198,34 @@
         for stream in self._streams_up().values():
             stream.send(message)
 
-    def send_to_others(self, message: pb.PeerMessage, but_vm: str) -> None:
-        """Send to every peer but one."""
-        # On a stream whose other end hasn't spoken yet too: what it was told at first is all that
-        # was known then.
+    def broadcast_except(self, message: pb.PeerMessage, except_vm: str) -> None:
+        """Send to every peer except one."""
+        # This includes streams whose other end hasn't sent yet: the first messages sent to it hold
+        # only what was known at that time.
         for stream in self._all_streams():
-            if stream.peer.vm != but_vm:
+            if stream.peer.vm != except_vm:
                 stream.send(message)
 
     async def flush(self) -> None:
-        """Wait until what was queued for the linked peers is on its way."""
+        """Wait until the messages queued for the linked peers are sent."""
         await asyncio.gather(*(stream.flush() for stream in self._streams_up().values()))
 
     def set_phase(self, phase: Phase) -> None:
-        """Change what this VM says of itself and say it at once."""
+        """Change this VM's phase and send it to the linked peers at once."""
         self._view.observe_own(evolve(self._view.own, phase=phase.value))
         for vm, stream in self._streams_up().items():
             stream.send(pb.PeerMessage(heartbeat=self._heartbeats.brief(vm)))
 
     def clock_offset_s(self, vm: str) -> float:
-        """Return a peer's clock minus ours."""
+        """Return the offset of a peer's clock: its time minus this VM's."""
         return self._heartbeats.offsets.offset_s(vm)
 
     def is_watcher(self) -> bool:
-        """Tell whether this VM reads the platform for its region.
+        """Return whether this VM reads the platform for its region.
 
-        A VM that starts knows few others at first and would take itself for a watcher. Were all VMs
-        of a fleet that starts together to watch until they know each other, each would make four
-        calls more. What it has read at its start isn't too old meanwhile.
+        A starting VM knows few others at first and would consider itself a watcher. In a fleet that
+        starts together, each VM would make four more calls to the platform before the VMs know each
+        other. The lists read at the start are recent enough until then.
         """
         now = now_unix_s()
         if now < self._settled_unix_s and self._published.is_read:
@@ -232,7 +233,7 @@
         return reads_platform(self._view, now)
 
     async def wait_for_answers(self, timeout_s: float) -> None:
-        """Return once each linked peer has spoken, or the time is up."""
+        """Wait until each linked peer has sent a message, for at most timeout_s."""
         waits = [asyncio.create_task(link.first_answer.wait()) for link in self.links.values()]
         if not waits:
             return
@@ -241,22 +242,22 @@
             task.cancel()
 
     def _wanted(self, now: float) -> dict[str, ListedVm]:
-        turn = int(now / CONTACT_TURN_S)
-        wanted_by_turn: dict[int, dict[str, ListedVm]]
-        wanted_by_turn = self._view.derived("wanted peers", dict, now)
-        if turn not in wanted_by_turn:
-            wanted_by_turn.clear()
-            wanted_by_turn[turn] = self._choose_wanted(now)
-        return wanted_by_turn[turn]
+        rotation = int(now / CONTACT_ROTATION_S)
+        wanted_by_rotation: dict[int, dict[str, ListedVm]]
+        wanted_by_rotation = self._view.derived("wanted peers", dict, now)
+        if rotation not in wanted_by_rotation:
+            wanted_by_rotation.clear()
+            wanted_by_rotation[rotation] = self._choose_wanted(now)
+        return wanted_by_rotation[rotation]
 
     def _choose_wanted(self, now: float) -> dict[str, ListedVm]:
         own = self._view.own_vm
         known = {m.vm: _listed(m) for m in self._view.live_peers(now_unix_s=now)}
         known.update({vm.vm: vm for vm in self._view.contacts(now) if vm.vm != own})
         local = {vm: p for vm, p in known.items() if p.region == self._view.own_region}
-        near = neighbours(own, local)
-        self._heartbeats.set_neighbours(near)
-        wanted = {vm: peer for vm, peer in local.items() if vm in near.all}
+        own_neighbours = neighbours(own, local)
+        self._heartbeats.set_neighbours(own_neighbours)
+        wanted = {vm: peer for vm, peer in local.items() if vm in own_neighbours.all}
         return wanted | self._wanted_relays(known, now)
 
     def _wanted_relays(self, known: dict[str, ListedVm], now: float) -> dict[str, ListedVm]:
@@ -272,9 +273,9 @@
                 continue
             partners = relays_among(live[region], region, own)
             if len(regions) > ALL_PAIRS_UP_TO_REGIONS:
-                partners = _partner(partners, names.index(self._view.own_vm))
+                partners = _partner_relay(partners, names.index(self._view.own_vm))
             chosen = [_listed(member) for member in partners]
-            chosen = chosen or _contacts_in_turn(known, region, now)
+            chosen = chosen or _rotating_contacts(known, region, now)
             wanted.update({peer.vm: peer for peer in chosen})
         return wanted
 
@@ -287,7 +288,7 @@
         return is_wanted or is_asked_for or self.links[vm].is_in_use
 
     def _is_second_stream(self, vm: str) -> bool:
-        """Tell whether both VMs have dialed, and this one's stream is the one to close."""
+        """Return whether both VMs have dialed and the stream dialed here is the one to close."""
         return vm < self._view.own_vm and vm in self._accepted.up()
 
     async def _open(self, peer: ListedVm) -> PeerLink:
@@ -297,14 +298,14 @@
         return link
 
     async def _close(self, vm: str) -> None:
-        # Joining reviews too: while one review waits here, the other may close or rename the link.
-        # Without this check the daemon crashed at its start.
+        # Joining calls review() too: while one review waits here, another may close or rename the
+        # link. Without this check the daemon would crash at its start.
         link = self.links.pop(vm, None)
         if link is None:
             return
         self._on_demand_until_unix_s.pop(vm, None)
         is_up = link.is_up
-        await link.stream.say_closing()
+        await link.stream.send_closing()
         await self.remove_dependency(link)
         await link.stop()
         if is_up and link.peer.vm not in self._streams_up():
@@ -314,9 +315,9 @@
         if name == VMS:
             self._view.observe_listed(_listed_vms(self._published))
         for vm, stream in self._streams_up().items():
-            if not self._exchange.passes_on(source, stream.peer.region):
+            if not self._exchange.pushes_change_to(source, stream.peer.region):
                 continue
-            delta = self._exchange.fresh_delta_for(name, vm)
+            delta = self._exchange.unsent_delta_for(name, vm)
             if delta is not None:
                 stream.send(delta)
 
@@ -329,14 +330,14 @@
             self._observe(ProcessPauseDetected(gap_s))
 
 
-def _partner(relays: tuple[Member, ...], place: int) -> tuple[Member, ...]:
-    """Return the relay of the same place: two separate links instead of four a pair of regions."""
-    return relays[place : place + 1] or relays[:1]
+def _partner_relay(relays: tuple[Member, ...], index: int) -> tuple[Member, ...]:
+    """Return the relay at the same index: two separate links per pair of regions, not four."""
+    return relays[index : index + 1] or relays[:1]
 
 
-def _contacts_in_turn(known: dict[str, ListedVm], region: str, now: float) -> list[ListedVm]:
+def _rotating_contacts(known: dict[str, ListedVm], region: str, now: float) -> list[ListedVm]:
     contacts = [peer for peer in known.values() if peer.region == region]
-    start = int(now / CONTACT_TURN_S) * CONTACTS_TRIED % len(contacts)
+    start = int(now / CONTACT_ROTATION_S) * CONTACTS_TRIED % len(contacts)
     return (contacts + contacts)[start : start + min(CONTACTS_TRIED, len(contacts))]
 
 
--- a/tests/test_crash_updates.py
+++ b/tests/test_crash_updates.py
@@ -25,8 +25,8 @@
     bytes_by_vm: Counter[str] = field(factory=Counter)
 
     def add(self, vm: str) -> None:
-        def broadcast(message: pb.PeerMessage, but_vm: str) -> None:
-            self.sent.extend((vm, to, message) for to in self.links[vm] if to != but_vm)
+        def broadcast(message: pb.PeerMessage, except_vm: str) -> None:
+            self.sent.extend((vm, to, message) for to in self.links[vm] if to != except_vm)
 
         self.views[vm] = CrashUpdates(suspects=CrashSuspects(own_vm=vm), broadcast=broadcast)
 
@@ -41,7 +41,7 @@
     """Return regions whose VMs stand in grids, two of each linked to two of every other."""
     fleet = Fleet()
     regions = [
-        [f"vm-{region}-{place:02}" for place in range(VMS_A_REGION)] for region in range(REGIONS)
+        [f"vm-{region}-{index:02}" for index in range(VMS_A_REGION)] for region in range(REGIONS)
     ]
     for names in regions:
         for vm in names:
@@ -93,12 +93,12 @@
 
 
 def test_vm_that_has_just_been_reached_is_told_everything() -> None:
-    knowing, starting = CrashUpdates(), CrashUpdates()
+    sender, receiver = CrashUpdates(), CrashUpdates()
     for key in range(3):
-        note(knowing, key)
-    for message in knowing.whole():
-        starting.take(message.crash_findings, "vm-1")
-    assert starting.suspects.suspicion(1, now_unix_s()) is Suspicion.BLOCKED
+        note(sender, key)
+    for message in sender.all_messages():
+        receiver.take(message.crash_findings, "vm-1")
+    assert receiver.suspects.suspicion(1, now_unix_s()) is Suspicion.BLOCKED
 
 
 def test_findings_of_no_possible_time_are_left_out() -> None:
--- a/tests/test_demand_updates.py
+++ b/tests/test_demand_updates.py
@@ -12,7 +12,7 @@
     name="desk", token_sha256=(), max_requests_per_s=LIMIT_PER_S, max_requests_in_flight=1_000
 )
 CONFIGURATION = Configuration(accounts={ACCOUNT.name: ACCOUNT})
-BEAT_S = 0.5
+HEARTBEAT_EVERY_S = 0.5
 
 
 class Vm:
@@ -21,33 +21,33 @@
     def __init__(self, name: str, region: str, region_vms: tuple[str, ...]) -> None:
         self.name, self.region = name, region
         self.limits = AccountLimits()
-        self.news = DemandUpdates(limits=self.limits, configuration=lambda: CONFIGURATION)
+        self.updates = DemandUpdates(limits=self.limits, configuration=lambda: CONFIGURATION)
         self.neighbours: Neighbours = neighbours(name, region_vms)
         self.limits.set_region_vms(len(region_vms))
         self.sent: dict[str, SentDemand] = {}
 
-    def tell(self, other: "Vm", now_unix_s: float) -> None:
+    def send_heartbeat_to(self, other: "Vm", now_unix_s: float) -> None:
         """Send one heartbeat's demand."""
         heartbeat = pb.Heartbeat(vm=self.name, region=self.region)
         kind = self.neighbours.kind(other.name, self.region == other.region)
         sent = self.sent.setdefault(other.name, SentDemand())
-        self.news.write(heartbeat, sent, kind, self.neighbours, now_unix_s)
+        self.updates.write(heartbeat, sent, kind, self.neighbours, now_unix_s)
         back = other.neighbours.kind(self.name, self.region == other.region)
-        other.news.take(heartbeat, back, now_unix_s)
+        other.updates.take(heartbeat, back, now_unix_s)
 
 
 def admitted(vms: list[Vm], seconds: float) -> int:
     """Count what VMs admit that are asked evenly, after they know each other's demand."""
     count, steps = 0, int(seconds * ASKED_PER_S)
-    next_beat_unix_s = 0.0
+    next_heartbeat_unix_s = 0.0
     for step in range(steps):
         now_unix_s = 1_000.0 + step / ASKED_PER_S
-        if now_unix_s >= next_beat_unix_s:
-            next_beat_unix_s = now_unix_s + BEAT_S
+        if now_unix_s >= next_heartbeat_unix_s:
+            next_heartbeat_unix_s = now_unix_s + HEARTBEAT_EVERY_S
             for vm in vms:
                 for other in vms:
                     if other is not vm:
-                        vm.tell(other, now_unix_s)
+                        vm.send_heartbeat_to(other, now_unix_s)
         vm = vms[step % len(vms)]
         if vm.limits.admit(ACCOUNT, now_unix_s).is_ok():
             vm.limits.release(ACCOUNT.name)
@@ -72,10 +72,10 @@
         for vm in (own, near):
             vm.limits.admit(ACCOUNT, 1_000.0 + step / 20.0)
     now_unix_s = 1_002.0
-    near.tell(own, now_unix_s)
+    near.send_heartbeat_to(own, now_unix_s)
     heartbeat = pb.Heartbeat(vm=own.name, region=own.region)
-    own.news.write(heartbeat, SentDemand(), LinkKind.OTHER_REGION, own.neighbours, now_unix_s)
+    own.updates.write(heartbeat, SentDemand(), LinkKind.OTHER_REGION, own.neighbours, now_unix_s)
     alone = pb.Heartbeat(vm=own.name, region=own.region)
-    own.news.write(alone, SentDemand(), LinkKind.ROW, own.neighbours, now_unix_s)
+    own.updates.write(alone, SentDemand(), LinkKind.ROW, own.neighbours, now_unix_s)
     assert heartbeat.account_rates[0] > 1.5 * alone.account_rates[0]
     assert far.name not in own.neighbours.all
--- a/tests/test_forward_client.py
+++ b/tests/test_forward_client.py
@@ -53,16 +53,16 @@
 class Sink:
     """Keep what a caller gets."""
 
-    told: list[Any] = field(factory=list)
+    received: list[Any] = field(factory=list)
 
     async def head(self, head: AnswerHead) -> None:
-        self.told.append(head.status)
+        self.received.append(head.status)
 
     async def chunk(self, data: bytes) -> None:
-        self.told.append(data)
+        self.received.append(data)
 
     async def end(self) -> None:
-        self.told.append("end")
+        self.received.append("end")
 
 
 class LosesConnection(PeerHandlersStub):
@@ -158,7 +158,7 @@
         result = await forward.run()
 
     assert result.is_finished
-    assert sink.told == [200, TOKEN_EVENT + END_EVENT, "end"]
+    assert sink.received == [200, TOKEN_EVENT + END_EVENT, "end"]
 
 
 async def test_refusal_counts_where_its_connection_is_lost_at_once() -> None:
@@ -190,7 +190,7 @@
         result = await forward.run()
 
     assert result.is_finished is (events == WHOLE[:2])
-    assert ("end" in sink.told) is result.is_finished
+    assert ("end" in sink.received) is result.is_finished
 
 
 async def test_rest_is_asked_for_under_the_id_that_the_engine_knows() -> None:
@@ -205,4 +205,4 @@
 
     assert result.is_finished
     assert handlers.resumed == ["r~2"]
-    assert sink.told == [200, TOKEN_EVENT, END_EVENT, "end"]
+    assert sink.received == [200, TOKEN_EVENT, END_EVENT, "end"]
--- a/tests/test_forward_registry.py
+++ b/tests/test_forward_registry.py
@@ -17,27 +17,27 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.book = ForwardRegistry()
+        self.registry = ForwardRegistry()
         self.now_unix_s = 0.0
         self.ran: set[ForwardKey] = set()
-        self.told_unrun: set[ForwardKey] = set()
+        self.answered_not_run: set[ForwardKey] = set()
 
     @rule(key=KEYS)
     def arrive(self, key: ForwardKey) -> None:
-        if self.now_unix_s < DEADLINE_S and not self.book.is_cancelled(key):
-            self.book.note_seen(key, self.now_unix_s)
+        if self.now_unix_s < DEADLINE_S and not self.registry.is_cancelled(key):
+            self.registry.note_seen(key, self.now_unix_s)
             self.ran.add(key)
 
     @rule(key=KEYS)
     def cancel(self, key: ForwardKey) -> None:
-        if self.book.cancel(key, DEADLINE_S, self.now_unix_s):
-            self.told_unrun.add(key)
+        if self.registry.cancel(key, DEADLINE_S, self.now_unix_s):
+            self.answered_not_run.add(key)
 
     @rule(key=KEYS)
     def end_unrun(self, key: ForwardKey) -> None:
-        if key not in self.ran and not self.book.is_cancelled(key):
-            self.book.note_seen(key, self.now_unix_s)
-            self.book.note_unrun(key, DEADLINE_S, self.now_unix_s)
+        if key not in self.ran and not self.registry.is_cancelled(key):
+            self.registry.note_seen(key, self.now_unix_s)
+            self.registry.note_unrun(key, DEADLINE_S, self.now_unix_s)
             self.cancel(key)
 
     @rule(passed_s=st.floats(0.0, SEEN_KEPT_S * 3))
@@ -46,7 +46,7 @@
 
     @invariant()
     def not_run_is_true(self) -> None:
-        assert not self.ran & self.told_unrun
+        assert not self.ran & self.answered_not_run
 
 
 TestCancelledStaysUnrun = CancelledStaysUnrun.TestCase
@@ -54,16 +54,16 @@
 
 
 def test_forward_that_ended_unrun_is_told_so_and_barred() -> None:
-    book, key = ForwardRegistry(), ForwardKey("vm-1", 1, 1)
-    book.note_seen(key, 0.0)
-    assert not book.cancel(key, DEADLINE_S, 1.0)
-    book.note_unrun(key, DEADLINE_S, 2.0)
-    assert book.cancel(key, DEADLINE_S, 3.0)
-    assert book.is_cancelled(key)
+    registry, key = ForwardRegistry(), ForwardKey("vm-1", 1, 1)
+    registry.note_seen(key, 0.0)
+    assert not registry.cancel(key, DEADLINE_S, 1.0)
+    registry.note_unrun(key, DEADLINE_S, 2.0)
+    assert registry.cancel(key, DEADLINE_S, 3.0)
+    assert registry.is_cancelled(key)
 
 
 def test_what_was_seen_is_forgotten_in_time() -> None:
-    book = ForwardRegistry()
+    registry = ForwardRegistry()
     for serial in range(1_000):
-        book.note_seen(ForwardKey("vm-1", 1, serial), serial)
-    assert len(book) <= SEEN_KEPT_S + 1
+        registry.note_seen(ForwardKey("vm-1", 1, serial), serial)
+    assert len(registry) <= SEEN_KEPT_S + 1
--- a/tests/test_member_updates.py
+++ b/tests/test_member_updates.py
@@ -14,14 +14,14 @@
 def heartbeat_by_clock_ahead(ahead_s: float) -> pb.Heartbeat:
     """Return a heartbeat that tells of vm-b, from a peer whose clock differs."""
     sent_unix_s = NOW_UNIX_S + ahead_s
-    told = pb.MemberSummary(
+    summaries = pb.MemberSummary(
         vm="vm-b",
         incarnation=1,
         region="milan",
         phase="ready",
         heard_unix_s=sent_unix_s - HEARD_AGO_S,
     )
-    return pb.Heartbeat(vm="vm-c", incarnation=1, sent_unix_s=sent_unix_s, members=[told])
+    return pb.Heartbeat(vm="vm-c", incarnation=1, sent_unix_s=sent_unix_s, members=[summaries])
 
 
 def take(view: MembershipView, heartbeat: pb.Heartbeat) -> None:
@@ -74,20 +74,22 @@
 
     def __init__(self, vm: str, members: int) -> None:
         self.view = MembershipView(vm, "milan")
-        self.news, self.sent = MemberUpdates(self.view), SentMembers()
+        self.updates, self.sent = MemberUpdates(self.view), SentMembers()
         self.streams: dict[str, SentMembers] = {}
         for number in range(members):
-            told = Member(vm=f"vm-{number:03d}", incarnation=1, region="milan", heard_unix_s=999.0)
-            self.view.observe_summary(told, NOW_UNIX_S)
+            summaries = Member(
+                vm=f"vm-{number:03d}", incarnation=1, region="milan", heard_unix_s=999.0
+            )
+            self.view.observe_summary(summaries, NOW_UNIX_S)
 
     def heartbeat(self) -> pb.Heartbeat:
         heartbeat = pb.Heartbeat(vm=self.view.own_vm, incarnation=1, sent_unix_s=NOW_UNIX_S)
-        self.news.write(heartbeat, self.sent, "other", LinkKind.COLUMN, Neighbours(), NOW_UNIX_S)
+        self.updates.write(heartbeat, self.sent, "other", LinkKind.COLUMN, Neighbours(), NOW_UNIX_S)
         return heartbeat
 
-    def hear(self, heartbeat: pb.Heartbeat) -> list[int]:
+    def receive(self, heartbeat: pb.Heartbeat) -> list[int]:
         """Take a heartbeat; return the keys of the descriptions to ask for."""
-        self.news.take(
+        self.updates.take(
             heartbeat, self.sent, LinkKind.COLUMN, False, NOW_UNIX_S, heartbeat.sent_unix_s
         )
         return self.ask(heartbeat, NOW_UNIX_S)
@@ -95,12 +97,12 @@
     def ask(self, heartbeat: pb.Heartbeat, now_unix_s: float) -> list[int]:
         """Return the keys of the descriptions to ask a peer for at some time."""
         sent = self.streams.setdefault(heartbeat.vm, SentMembers())
-        return self.news.lacking(sent, heartbeat.member_keys, now_unix_s)
+        return self.updates.missing_keys(sent, heartbeat.member_keys, now_unix_s)
 
-    def take_answer(self, told: list[pb.MemberSummary], peer: str) -> None:
+    def receive_answer(self, summaries: list[pb.MemberSummary], peer: str) -> None:
         """Take what a peer answers."""
-        self.news.take_descriptions(told, peer, LinkKind.COLUMN, NOW_UNIX_S, 0.0)
-        self.news.note_answered(self.streams[peer])
+        self.updates.receive_descriptions(summaries, peer, LinkKind.COLUMN, NOW_UNIX_S, 0.0)
+        self.updates.note_answered(self.streams[peer])
 
 
 def test_descriptions_are_told_once_to_a_vm_that_lacks_them() -> None:
@@ -110,19 +112,19 @@
     tells neither of them what it has from them.
     """
     first, second, joiner = Peer("milan-1", 60), Peer("milan-2", 60), Peer("milan-3", 0)
-    wanted = joiner.hear(first.heartbeat())
-    assert joiner.hear(second.heartbeat()) == []
-    told = first.news.describe(wanted)
-    joiner.news.take_descriptions(told, "milan-1", LinkKind.COLUMN, NOW_UNIX_S, 0.0)
+    wanted = joiner.receive(first.heartbeat())
+    assert joiner.receive(second.heartbeat()) == []
+    summaries = first.updates.describe(wanted)
+    joiner.updates.receive_descriptions(summaries, "milan-1", LinkKind.COLUMN, NOW_UNIX_S, 0.0)
 
-    assert len(told) == 60
+    assert len(summaries) == 60
     assert {each.vm for each in joiner.view.known()} == {each.vm for each in first.view.known()}
     assert not joiner.heartbeat().member_keys
 
 
 def test_a_peer_that_does_not_answer_is_not_asked_alone() -> None:
     first, second, joiner = Peer("milan-1", 3), Peer("milan-2", 3), Peer("milan-3", 0)
-    keys = joiner.hear(first.heartbeat())
+    keys = joiner.receive(first.heartbeat())
     assert joiner.ask(second.heartbeat(), NOW_UNIX_S + 1.0) == []
 
     assert joiner.ask(second.heartbeat(), NOW_UNIX_S + 2.0) == keys
@@ -135,12 +137,12 @@
     stream was closed before the answer.
     """
     first, second, joiner = Peer("milan-1", 3), Peer("milan-2", 3), Peer("milan-3", 0)
-    keys = joiner.hear(first.heartbeat())
-    assert joiner.hear(second.heartbeat()) == []
+    keys = joiner.receive(first.heartbeat())
+    assert joiner.receive(second.heartbeat()) == []
 
     assert not second.heartbeat().member_keys
     assert joiner.ask(second.heartbeat(), NOW_UNIX_S + 2.0) == keys
-    joiner.take_answer(second.news.describe(keys), "milan-2")
+    joiner.receive_answer(second.updates.describe(keys), "milan-2")
     assert joiner.ask(second.heartbeat(), NOW_UNIX_S + 4.0) == []
     assert joiner.ask(first.heartbeat(), NOW_UNIX_S + 4.0) == []
 
@@ -148,8 +150,8 @@
 def test_description_that_nobody_holds_any_more_is_asked_for_once_a_peer() -> None:
     """A member is described anew between the telling and the answer, which lacks the old key."""
     first, joiner = Peer("milan-1", 1), Peer("milan-3", 0)
-    keys = joiner.hear(first.heartbeat())
-    joiner.take_answer([], "milan-1")
+    keys = joiner.receive(first.heartbeat())
+    joiner.receive_answer([], "milan-1")
 
     assert keys
     assert joiner.ask(first.heartbeat(), NOW_UNIX_S + 60.0) == []
@@ -157,12 +159,12 @@
 
 def test_a_member_that_stops_is_told_of_anew() -> None:
     first, joiner = Peer("milan-1", 3), Peer("milan-3", 0)
-    told = first.news.describe(joiner.hear(first.heartbeat()))
-    joiner.news.take_descriptions(told, "milan-1", LinkKind.COLUMN, NOW_UNIX_S, 0.0)
+    summaries = first.updates.describe(joiner.receive(first.heartbeat()))
+    joiner.updates.receive_descriptions(summaries, "milan-1", LinkKind.COLUMN, NOW_UNIX_S, 0.0)
     first.view.observe_leave("vm-001", 1, "vm-002", NOW_UNIX_S)
-    first.news._refresh(NOW_UNIX_S, at_once=True)
-    told = first.news.describe(joiner.hear(first.heartbeat()))
-    joiner.news.take_descriptions(told, "milan-1", LinkKind.COLUMN, NOW_UNIX_S, 0.0)
+    first.updates._refresh(NOW_UNIX_S, at_once=True)
+    summaries = first.updates.describe(joiner.receive(first.heartbeat()))
+    joiner.updates.receive_descriptions(summaries, "milan-1", LinkKind.COLUMN, NOW_UNIX_S, 0.0)
 
-    assert [(each.vm, each.phase) for each in told] == [("vm-001", "left")]
+    assert [(each.vm, each.phase) for each in summaries] == [("vm-001", "left")]
     assert joiner.view.successor_of("vm-001", 1) == "vm-002"
--- a/tests/test_peer_calls.py
+++ b/tests/test_peer_calls.py
@@ -12,7 +12,7 @@
 from harness.peer_handlers import PeerHandlersStub
 from harness.processes import free_ports
 from pomelobarrow.peers import peers_pb2 as pb
-from pomelobarrow.peers.calls import LOST, SingleConnection, take_back_cancels
+from pomelobarrow.peers.calls import CONNECTION_ERRORS, SingleConnection, undo_grpclib_cancellations
 from pomelobarrow.peers.peers_grpc import PeerStub
 
 HOST = "127.0.0.1"
@@ -58,7 +58,7 @@
     wrapper = Wrapper()
     loop = asyncio.get_running_loop()
     loop.call_later(0.01, wrapper.cancel, StreamTerminatedError("connection lost"))
-    with take_back_cancels(), wrapper:
+    with undo_grpclib_cancellations(), wrapper:
         await asyncio.sleep(10)
 
 
@@ -107,7 +107,7 @@
         await cancel(connection)
         while connection._connected:
             await asyncio.sleep(0)
-        with pytest.raises(LOST):
+        with pytest.raises(CONNECTION_ERRORS):
             await cancel(connection)
     assert handlers.calls == 1
 
@@ -117,6 +117,6 @@
     async with connection_to(handlers) as connection:
         await cancel(connection)
         connection.close()
-        with pytest.raises(LOST):
+        with pytest.raises(CONNECTION_ERRORS):
             await cancel(connection)
     assert handlers.calls == 1
--- a/tests/test_peer_grid.py
+++ b/tests/test_peer_grid.py
@@ -1,6 +1,6 @@
 import pytest
 
-from pomelobarrow.peers.grid import FULL_MESH_UP_TO, LinkKind, neighbours, passes_on
+from pomelobarrow.peers.grid import FULL_MESH_MAX_VMS, LinkKind, neighbours, passes_on
 
 SIZES = [*range(1, 60), 97]
 
@@ -30,7 +30,7 @@
         assert reached >= set(names) - {vm}
 
 
-@pytest.mark.parametrize("size", [FULL_MESH_UP_TO, 20, 50, 97])
+@pytest.mark.parametrize("size", [FULL_MESH_MAX_VMS, 20, 50, 97])
 def test_links_grow_with_the_square_root(size: int) -> None:
     names = region(size)
 
@@ -38,7 +38,7 @@
 
 
 def test_a_small_region_passes_nothing_on() -> None:
-    near = neighbours("vm000", region(FULL_MESH_UP_TO))
+    near = neighbours("vm000", region(FULL_MESH_MAX_VMS))
 
     assert (near.row, near.is_sparse) == (frozenset(), False)
 
--- a/tests/test_peer_table.py
+++ b/tests/test_peer_table.py
@@ -247,7 +247,7 @@
     stream = stream_of("turin-1")
     conversation = asyncio.create_task(stream.accepted(Stream()))
     await asyncio.sleep(0)
-    await stream.say_closing()
+    await stream.send_closing()
     conversation.cancel()
 
     assert told == ["closing"]
