--- a/src/pomelobarrow/peers/exchange.py
+++ b/src/pomelobarrow/peers/exchange.py
@@ -84,8 +84,8 @@
     ) -> None:
         is_newest = self.heartbeats.take(heartbeat, sent)
         # A heartbeat overtaken by one of another stream may be the only one that names a member.
-        if (question := self.heartbeats.missing_members_request(heartbeat, sent)) is not None:
-            reply(question)
+        if (request := self.heartbeats.missing_members_request(heartbeat, sent)) is not None:
+            reply(request)
         if not is_newest:
             return
         for state in heartbeat.keyspaces:
--- a/src/pomelobarrow/peers/forward_client.py
+++ b/src/pomelobarrow/peers/forward_client.py
@@ -113,7 +113,7 @@
         sink: AnswerSink,
         is_claim: bool,
     ) -> AttemptResult:
-        run = Forward(
+        forward = Forward(
             forwarder=self,
             member=member,
             link=await self.table.link_to(member),
@@ -125,12 +125,12 @@
         )
         try:
             async with asyncio.timeout(max(0.0, request.work.deadline_unix_s - now_unix_s())):
-                with run.link.in_use():
-                    return await run.run()
+                with forward.link.in_use():
+                    return await forward.run()
         except TimeoutError:
-            return await run.resolve_lost("the deadline passed", FINAL_ANSWER_TIMEOUT_S)
+            return await forward.resolve_lost("the deadline passed", FINAL_ANSWER_TIMEOUT_S)
         except (CallerGoneError, asyncio.CancelledError):
-            await asyncio.shield(run.cancel())
+            await asyncio.shield(forward.cancel())
             raise
 
 
--- a/src/pomelobarrow/peers/forward_registry.py
+++ b/src/pomelobarrow/peers/forward_registry.py
@@ -55,7 +55,7 @@
         self.cancel(key, deadline_unix_s, now_unix_s)
 
     def cancel(self, key: ForwardKey, deadline_unix_s: float, now_unix_s: float) -> bool:
-        """Block a forward; return True if it never arrived and is therefore certain not to run."""
+        """Block a forward; return True if it never arrived, so that it is certain not to run."""
         self.drop_expired(now_unix_s)
         if key in self._seen or self._may_have_expired(key):
             return False
--- a/src/pomelobarrow/peers/forward_server.py
+++ b/src/pomelobarrow/peers/forward_server.py
@@ -144,7 +144,9 @@
         # example because this process was paused. The request must not run after that answer.
         if self.registry.is_cancelled(key):
             return refuse(
-                Kind.DEADLINE_PASSED, _run(message), "the entry VM has cancelled the request"
+                Kind.DEADLINE_PASSED,
+                _run_before_ledger_check(message),
+                "the entry VM has cancelled the request",
             )
         request = self._request(message, vm)
         if isinstance(request, Refusal):
@@ -197,7 +199,7 @@
                 task.cancel()
                 task.add_done_callback(lambda _: self._running.pop(key, None))
 
-    def _return_delay_s(self, vm: str) -> float:
+    def _one_way_s(self, vm: str) -> float:
         """Return how long an answer takes to reach the entry VM.
 
         Without this margin a refusal sent at the deadline arrives after it, and the caller gets
@@ -215,16 +217,16 @@
         work_class = configuration.classes.get(message.class_name) if configuration else None
         if work_class is None:
             return refuse(
-                Kind.NOT_READY, _run(message), "the executing VM doesn't know the class yet"
+                Kind.NOT_READY,
+                _run_before_ledger_check(message),
+                "the executing VM doesn't know the class yet",
             )
         is_bound = work_class.home_bound or message.home_bound
         if is_bound and not _is_home(message, configuration):
             return refuse(Kind.BAD_HOME_REGION, Run.NO, "the account's home is another region")
-        deadline_unix_s = self.offsets.to_local(vm, message.deadline_unix_s) - self._return_delay_s(
-            vm
-        )
+        deadline_unix_s = self.offsets.to_local(vm, message.deadline_unix_s) - self._one_way_s(vm)
         if deadline_unix_s <= now_unix_s() and not message.is_claim:
-            return refuse(Kind.DEADLINE_PASSED, Run.NO, "the deadline passed on the way")
+            return refuse(Kind.DEADLINE_PASSED, Run.NO, "the deadline passed in transit")
         return GatewayRequest(
             work=_work(message, work_class, deadline_unix_s),
             work_class=work_class,
@@ -240,7 +242,7 @@
         )
 
 
-def _run(message: pb.ForwardRequest) -> Run:
+def _run_before_ledger_check(message: pb.ForwardRequest) -> Run:
     """Return what a refusal sent before the ledger is consulted may state.
 
     An earlier request under the same issued id may have run here; only the ledger records that.
--- a/src/pomelobarrow/peers/member_updates.py
+++ b/src/pomelobarrow/peers/member_updates.py
@@ -186,8 +186,10 @@
         vm, incarnation = self._member_by_key[key]
         sent.heard_unix_s[vm] = max(sent.heard_unix_s.get(vm, 0.0), heard_unix_s)
         member = self.view.get(vm)
-        is_same_region = is_sparse and member is not None and member.region == self.view.own_region
-        timeout_s = INDIRECT_REPORT_TIMEOUT_S if is_same_region else None
+        is_in_sparse_region = (
+            is_sparse and member is not None and member.region == self.view.own_region
+        )
+        timeout_s = INDIRECT_REPORT_TIMEOUT_S if is_in_sparse_region else None
         if self.view.observe_alive(
             vm, incarnation, heard_unix_s, now_unix_s, timeout_s, reported_by
         ):
--- a/src/pomelobarrow/peers/table.py
+++ b/src/pomelobarrow/peers/table.py
@@ -25,7 +25,7 @@
 
 REVIEW_EVERY_S = 0.5
 HEARTBEAT_EVERY_S = 1.0
-# Without jitter, VMs in phase would each receive the heartbeats of all others at once.
+# Without jitter, VMs that send at the same time would all be woken by all others at once.
 HEARTBEAT_JITTER = 0.1
 # Most of a fleet is known after this time. A server that leaves in the meantime goes on serving for
 # 3 s.
