--- a/tests/peer_calls.py
+++ b/tests/peer_calls.py
@@ -1,4 +1,4 @@
-"""Speak to an entry VM as a peer does, with any view of the fleet."""
+"""Call an entry VM as a peer does, with an arbitrary view of the fleet."""
 
 import time
 from typing import Any
@@ -20,7 +20,7 @@
 
 @define
 class Forwarded:
-    """Hold what came back for a forwarded request."""
+    """Record the answer to a forwarded request."""
 
     refusal: pb.Refusal | None = None
     status: int = 0
@@ -29,7 +29,7 @@
 
 
 def forward_message(fleet: Fleet, request_id: str, **more: Any) -> pb.ForwardRequest:
-    """Return a forwarded plain-service call; fields given replace the usual ones."""
+    """Return a forwarded plain-service call; the given fields replace the defaults."""
     fields: dict[str, Any] = {
         "request_id": request_id,
         "forwarded_by": FORWARDED_BY,
@@ -43,7 +43,7 @@
 async def forward(
     fleet: Fleet, vm: str, message: pb.ForwardRequest, by: str = FORWARDED_BY
 ) -> Forwarded:
-    """Forward a request to an entry VM past the proxy and read what it says."""
+    """Forward a request to an entry VM, bypassing the proxy, and read the answer."""
     keys = PeerKeys((PeerKey(**PEER_KEY),))
     channel, result = Channel(HOST, fleet.entries[vm].peer_port), Forwarded()
     try:
@@ -57,7 +57,7 @@
 
 
 async def resume(fleet: Fleet, vm: str, message: pb.ResumeRequest, by: str) -> Forwarded:
-    """Ask an entry VM past the proxy for the rest of a stream."""
+    """Request the rest of a stream from an entry VM, bypassing the proxy."""
     keys = PeerKeys((PeerKey(**PEER_KEY),))
     channel, result = Channel(HOST, fleet.entries[vm].peer_port), Forwarded()
     try:
--- a/tests/regions.py
+++ b/tests/regions.py
@@ -1,4 +1,4 @@
-"""Cut regions off, and watch what the entry VMs of all regions hold in force."""
+"""Partition regions, and observe which revisions the entry VMs of all regions have in force."""
 
 import asyncio
 import time
@@ -17,7 +17,7 @@
 
 
 async def cut_region(fleet: Fleet, region: str) -> None:
-    """Hold back everything between a region's entry VMs and those of the others."""
+    """Block all traffic between the entry VMs of a region and those of the others."""
     for vm, plan in fleet.entries.items():
         pattern = f"peer/{region}/{vm}" if plan.region != region else f"peer/*/{vm}"
         await fleet.fault(pattern, "cut")
@@ -26,12 +26,12 @@
 
 
 async def cut_outgoing(fleet: Fleet, region: str) -> None:
-    """Hold back what a region's entry VMs send to the others; they still hear them."""
+    """Block what a region's entry VMs send to the others; they still receive."""
     await _cut_one_way(fleet, region, "cut_to_target", "cut_to_client")
 
 
 async def cut_incoming(fleet: Fleet, region: str) -> None:
-    """Hold back what the others send to a region's entry VMs; they are still heard."""
+    """Block what the others send to a region's entry VMs; they can still send."""
     await _cut_one_way(fleet, region, "cut_to_client", "cut_to_target")
 
 
@@ -45,12 +45,12 @@
 
 
 async def heal(fleet: Fleet) -> None:
-    """Let everything pass again."""
+    """Remove all faults."""
     await fleet.fault("*", "pass")
 
 
 async def restart(fleet: Fleet, *vms: str) -> None:
-    """Kill entry VMs' daemons and start them anew; return once they serve."""
+    """Kill and restart the daemons of entry VMs; return once they are ready."""
     for vm in vms:
         fleet.processes.kill(vm)
     for vm in vms:
@@ -59,7 +59,7 @@
 
 
 async def keyspaces(fleet: Fleet, name: str = "config") -> dict[str, dict[str, Any]]:
-    """Return each entry VM's copy of a keyspace as its status shows it."""
+    """Return the state of a keyspace on each entry VM, as its status reports it."""
     statuses = await asyncio.gather(*(fleet.status(vm) for vm in fleet.entries))
     return {each["vm"]: each["keyspaces"][name] for each in statuses}
 
@@ -77,7 +77,7 @@
 
 
 async def wait_converged(fleet: Fleet) -> float:
-    """Return the seconds until all entry VMs hold the same and see each other."""
+    """Return the seconds until all entry VMs hold the same revisions and are connected."""
     started_s = time.monotonic()
 
     async def is_converged() -> bool:
@@ -91,16 +91,16 @@
 
 @define
 class RevisionLog:
-    """Hold the revisions that each entry VM served on, over all its starts."""
+    """Record the revisions that each entry VM served, across all its restarts."""
 
     served: dict[str, list[int]] = field(factory=lambda: defaultdict(list))
 
     def reverted(self) -> dict[str, list[int]]:
-        """Return the VMs that went back to a lower revision, with what they served on."""
+        """Return the VMs that reverted to a lower revision, with the revisions they served."""
         return {vm: seen for vm, seen in self.served.items() if seen != sorted(seen)}
 
     async def follow(self, fleet: Fleet, vm: str) -> None:
-        """Note each change of the revision in force on a VM while it says that it serves."""
+        """Record each change of the revision in force on a VM while the VM is ready."""
         while True:
             revision = await _served_revision(fleet, vm)
             seen = self.served[vm]
@@ -111,7 +111,7 @@
 
 @asynccontextmanager
 async def revision_log(fleet: Fleet) -> AsyncIterator[RevisionLog]:
-    """Follow all entry VMs for as long as the block runs."""
+    """Record the served revisions of all entry VMs during the block."""
     log = RevisionLog()
     tasks = [asyncio.create_task(log.follow(fleet, vm)) for vm in fleet.entries]
     try:
--- a/tests/test_crash_updates.py
+++ b/tests/test_crash_updates.py
@@ -1,4 +1,4 @@
-"""How crashes under requests become known to all VMs."""
+"""Crashes under requests are propagated to all VMs."""
 
 from collections import Counter, deque
 
@@ -17,7 +17,7 @@
 
 @define
 class Fleet:
-    """Hold a fleet's views and links, and deliver what is sent."""
+    """Simulate the links of a fleet and deliver the messages sent."""
 
     views: dict[str, CrashUpdates] = field(factory=dict)
     links: dict[str, set[str]] = field(factory=dict)
@@ -38,7 +38,7 @@
 
 
 def large_fleet() -> Fleet:
-    """Return regions whose VMs stand in grids, two of each linked to two of every other."""
+    """Return regions whose VMs form grids, with two VMs of each linked to two of every other."""
     fleet = Fleet()
     regions = [
         [f"vm-{region}-{index:02}" for index in range(VMS_A_REGION)] for region in range(REGIONS)
@@ -62,8 +62,8 @@
     view.tell(view.suspects.note(crash(server_key)))
 
 
-def test_three_crashes_seen_in_three_regions_are_known_to_all_vms() -> None:
-    """Each VM knew of those it saw itself, and let three servers end before it refused."""
+def test_crashes_seen_in_three_regions_are_known_to_all_vms() -> None:
+    """A VM that knew only its own crashes would let three servers end before it refuses."""
     fleet = large_fleet()
     for region in range(3):
         note(fleet.views[f"vm-{region}-40"], region)
@@ -74,7 +74,7 @@
 
 
 def test_a_crash_costs_each_vm_a_few_hundred_bytes() -> None:
-    """In a region of 65 VMs each has sixteen neighbours, and any of them may tell."""
+    """In a region of 65 VMs each has sixteen neighbours, and any of them may send a finding."""
     fleet = large_fleet()
     note(fleet.views["vm-0-40"], 1)
     fleet.deliver()
@@ -92,7 +92,7 @@
     assert not any(view.suspects.crashes() for view in fleet.views.values())
 
 
-def test_vm_that_has_just_been_reached_is_told_everything() -> None:
+def test_newly_connected_vm_receives_all_findings() -> None:
     sender, receiver = CrashUpdates(), CrashUpdates()
     for key in range(3):
         note(sender, key)
@@ -101,7 +101,7 @@
     assert receiver.suspects.suspicion(1, now_unix_s()) is Suspicion.BLOCKED
 
 
-def test_findings_of_no_possible_time_are_left_out() -> None:
+def test_findings_with_impossible_times_are_ignored() -> None:
     view = CrashUpdates()
     for sent_unix_s in (float("nan"), float("-inf"), 0.0):
         finding = pb.CrashFinding(fingerprint=1, server_key=1)
--- a/tests/test_demand_updates.py
+++ b/tests/test_demand_updates.py
@@ -1,4 +1,4 @@
-"""An account's demand is known in every region, so that its limit holds for all of them."""
+"""An account's demand is known in every region, so that its limit holds across regions."""
 
 from pomelobarrow.decision.configuration import Account, Configuration
 from pomelobarrow.decision.limits import AccountLimits
@@ -16,7 +16,7 @@
 
 
 class Vm:
-    """Hold what one entry VM knows of demand."""
+    """Simulate one entry VM that exchanges demand."""
 
     def __init__(self, name: str, region: str, region_vms: tuple[str, ...]) -> None:
         self.name, self.region = name, region
@@ -27,7 +27,7 @@
         self.sent: dict[str, SentDemand] = {}
 
     def send_heartbeat_to(self, other: "Vm", now_unix_s: float) -> None:
-        """Send one heartbeat's demand."""
+        """Send the demand part of one heartbeat."""
         heartbeat = pb.Heartbeat(vm=self.name, region=self.region)
         kind = self.neighbours.kind(other.name, self.region == other.region)
         sent = self.sent.setdefault(other.name, SentDemand())
@@ -37,7 +37,7 @@
 
 
 def admitted(vms: list[Vm], seconds: float) -> int:
-    """Count what VMs admit that are asked evenly, after they know each other's demand."""
+    """Count the requests that evenly loaded VMs admit once they know each other's demand."""
     count, steps = 0, int(seconds * ASKED_PER_S)
     next_heartbeat_unix_s = 0.0
     for step in range(steps):
@@ -56,13 +56,14 @@
 
 
 def test_limit_holds_over_regions() -> None:
-    # Told of its own region only, each region admitted the whole limit: three times in all.
+    # Without the demand of other regions, each region would admit the whole limit: three times in
+    # all.
     regions = ("milan", "turin", "bologna")
     vms = [Vm(f"{r}-{n}", r, (f"{r}-1", f"{r}-2")) for r in regions for n in (1, 2)]
     assert admitted(vms, 20.0) <= LIMIT_PER_S * 10.0 * 1.1
 
 
-def test_region_is_told_the_sum_of_its_vms() -> None:
+def test_other_region_receives_the_sum_of_all_vms() -> None:
     own, near, far = (
         Vm("milan-1", "milan", ("milan-1", "milan-2")),
         Vm("milan-2", "milan", ("milan-1", "milan-2")),
--- a/tests/test_forward_client.py
+++ b/tests/test_forward_client.py
@@ -33,7 +33,7 @@
     server="drafting-milan-1",
     headers=[pb.Header(name="Content-Type", value=SERVER_SENT_EVENTS)],
 )
-WHOLE = (
+COMPLETE = (
     pb.ForwardEvent(head=HEAD),
     pb.ForwardEvent(chunk=TOKEN_EVENT + END_EVENT),
     pb.ForwardEvent(end=pb.End(complete=True)),
@@ -43,7 +43,7 @@
         refusal=pb.Refusal(kind=Kind.OVERLOADED.label, run=Run.NO.value, detail="no room")
     ),
 )
-SHORT = (
+INCOMPLETE = (
     pb.ForwardEvent(head=HEAD),
     pb.ForwardEvent(end=pb.End(complete=False, detail="it stopped short")),
 )
@@ -51,7 +51,7 @@
 
 @define
 class Sink:
-    """Keep what a caller gets."""
+    """Record what a caller receives."""
 
     received: list[Any] = field(factory=list)
 
@@ -65,7 +65,7 @@
         self.received.append("end")
 
 
-class LosesConnection(PeerHandlersStub):
+class ConnectionLosingPeer(PeerHandlersStub):
     """Answer a forward, then close the connection before the stream's own end."""
 
     def __init__(self, events: tuple[pb.ForwardEvent, ...]) -> None:
@@ -90,7 +90,7 @@
 
 
 def no_span(name: str, traceparent: str, **values: str) -> Any:
-    """Stand in for a span where traces are off."""
+    """Return a span without effect, as with tracing off."""
     return nullcontext(SimpleNamespace(set=lambda name, value: None))
 
 
@@ -147,23 +147,23 @@
         await server.wait_closed()
 
 
-async def test_whole_answer_counts_where_its_connection_is_lost_at_once() -> None:
-    """The connection to a peer is lost between the answer's end and the stream's own.
+async def test_complete_answer_counts_when_its_connection_is_lost_at_once() -> None:
+    """The connection to a peer is lost between the end event and the end of the stream.
 
-    The caller had its whole answer. Ended a second time, the attempt raised an error, and the
-    caller's connection was closed under its next request.
+    The caller already has the complete answer. If the attempt were ended a second time, it would
+    raise an error, and the caller's connection would be closed during its next request.
     """
     sink = Sink()
-    async with forward_to(LosesConnection(WHOLE), sink) as forward:
+    async with forward_to(ConnectionLosingPeer(COMPLETE), sink) as forward:
         result = await forward.run()
 
     assert result.is_finished
     assert sink.received == [200, TOKEN_EVENT + END_EVENT, "end"]
 
 
-async def test_refusal_counts_where_its_connection_is_lost_at_once() -> None:
-    """A peer that stops refuses a request and closes the connection."""
-    async with forward_to(LosesConnection(REFUSED), Sink()) as forward:
+async def test_refusal_counts_when_its_connection_is_lost_at_once() -> None:
+    """A stopping peer refuses a request and closes the connection."""
+    async with forward_to(ConnectionLosingPeer(REFUSED), Sink()) as forward:
         result = await forward.run()
 
     assert result.state is AttemptState.REFUSED_UNRUN
@@ -171,34 +171,38 @@
     assert result.refusal.detail == "no room"
 
 
-async def test_short_answer_stays_short_where_its_connection_is_lost_at_once() -> None:
-    """A peer says that the answer stops short and closes the connection."""
-    async with forward_to(LosesConnection(SHORT), Sink()) as forward:
+async def test_incomplete_answer_stays_incomplete_when_its_connection_is_lost_at_once() -> None:
+    """A peer reports an incomplete answer and closes the connection."""
+    async with forward_to(ConnectionLosingPeer(INCOMPLETE), Sink()) as forward:
         result = await forward.run()
 
     assert (result.state, result.detail) == (AttemptState.UNKNOWN, "it stopped short")
 
 
-@pytest.mark.parametrize("events", [(), WHOLE[:1], WHOLE[:2]], ids=["nothing", "head", "chunk"])
-async def test_answer_lost_before_its_end_is_not_taken_for_whole(
+@pytest.mark.parametrize(
+    "events", [(), COMPLETE[:1], COMPLETE[:2]], ids=["nothing", "head", "chunk"]
+)
+async def test_answer_lost_before_its_end_does_not_count_as_complete(
     events: tuple[pb.ForwardEvent, ...], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A connection is lost before the end was told; only its last event shows it whole."""
+    """A connection is lost before the end event; the answer is complete if its last event came."""
     monkeypatch.setattr("pomelobarrow.peers.forward_resume.TRY_PAUSE_S", 0.0)
     sink = Sink()
-    async with forward_to(LosesConnection(events), sink) as forward:
+    async with forward_to(ConnectionLosingPeer(events), sink) as forward:
         result = await forward.run()
 
-    assert result.is_finished is (events == WHOLE[:2])
+    assert result.is_finished is (events == COMPLETE[:2])
     assert ("end" in sink.received) is result.is_finished
 
 
-async def test_rest_is_asked_for_under_the_id_that_the_engine_knows() -> None:
-    """The peer's second attempt ran under an id of its own; the first one's rest is unknown."""
+async def test_rest_is_fetched_under_the_id_that_the_engine_knows() -> None:
+    """The peer's second attempt ran under an id of its own, and only that id can be resumed."""
     head = pb.Head()
     head.CopyFrom(HEAD)
     head.request_id = "r~2"
-    handlers = LosesConnection((pb.ForwardEvent(head=head), pb.ForwardEvent(chunk=TOKEN_EVENT)))
+    handlers = ConnectionLosingPeer(
+        (pb.ForwardEvent(head=head), pb.ForwardEvent(chunk=TOKEN_EVENT))
+    )
     sink = Sink()
     async with forward_to(handlers, sink, peers=(PEER,)) as forward:
         result = await forward.run()
--- a/tests/test_forward_registry.py
+++ b/tests/test_forward_registry.py
@@ -11,8 +11,8 @@
 class CancelledStaysUnrun(RuleBasedStateMachine):
     """Forwards and their cancellations arrive in any order, early, late and twice.
 
-    A forward whose cancellation was answered "not run" must not have run and must never run while
-    its deadline lets it.
+    A forward whose cancellation was answered "not_run" must not have run and must not run later
+    within its deadline.
     """
 
     def __init__(self) -> None:
@@ -53,7 +53,7 @@
 TestCancelledStaysUnrun.settings = settings(max_examples=200, deadline=None)
 
 
-def test_forward_that_ended_unrun_is_told_so_and_barred() -> None:
+def test_forward_that_ended_unrun_is_reported_as_such_and_blocked() -> None:
     registry, key = ForwardRegistry(), ForwardKey("vm-1", 1, 1)
     registry.note_seen(key, 0.0)
     assert not registry.cancel(key, DEADLINE_S, 1.0)
@@ -62,7 +62,7 @@
     assert registry.is_cancelled(key)
 
 
-def test_what_was_seen_is_forgotten_in_time() -> None:
+def test_received_forwards_expire() -> None:
     registry = ForwardRegistry()
     for serial in range(1_000):
         registry.note_seen(ForwardKey("vm-1", 1, serial), serial)
--- a/tests/test_forward_server.py
+++ b/tests/test_forward_server.py
@@ -1,4 +1,4 @@
-"""Forwarded deadlines between VMs whose clocks differ."""
+"""Deadlines of forwarded requests between VMs whose clocks differ."""
 
 import pytest
 
@@ -17,7 +17,7 @@
 
 
 class Stream:
-    """Give one forwarded request and keep what is answered."""
+    """Deliver one forwarded request and record the answer."""
 
     def __init__(self, message):
         self.message = message
@@ -31,7 +31,7 @@
 
 
 class Entry:
-    """Keep what would run here."""
+    """Record the requests that would run."""
 
     def __init__(self):
         self.requests = []
@@ -41,7 +41,7 @@
 
 
 def offsets_of_peer_ahead(ahead_s):
-    """Return offsets as one exchanged heartbeat gives them."""
+    """Return the offsets that one exchanged heartbeat yields."""
     offsets, received_unix_s = ClockOffsets(), now_unix_s()
     at_peer_unix_s = received_unix_s - ROUND_TRIP_S / 2 + ahead_s
     offsets.observe(
@@ -55,7 +55,7 @@
 
 
 async def forward(ahead_s, left_s):
-    """Forward a request whose deadline, by the entry VM's clock, is so far ahead."""
+    """Forward a request whose deadline by the entry VM's clock is left_s ahead."""
     entry = Entry()
     server = ForwardServer(
         incarnation=1,
@@ -80,10 +80,10 @@
 @pytest.mark.proof
 @pytest.mark.parametrize("ahead_s", [-3600.0, -2.0, 0.0, 2.0, 3600.0])
 async def test_deadline_holds_on_a_vm_with_another_clock(ahead_s):
-    """The caller's five seconds are five seconds wherever the request runs.
+    """The caller's five seconds remain five seconds on the executing VM.
 
-    The entry VM's clock is ahead or behind. Taken as it is, its deadline would be over on arrival
-    or an hour too late; the exchanged offset puts it right to within half the round trip.
+    The entry VM's clock is ahead or behind. Unadjusted, its deadline would have passed on arrival
+    or be an hour too late. The exchanged offset corrects it to within half the round trip.
     """
     requests, _ = await forward(ahead_s, LEFT_S)
     left_s = requests[0].work.deadline_unix_s - now_unix_s()
--- a/tests/test_liveness_changes.py
+++ b/tests/test_liveness_changes.py
@@ -1,11 +1,11 @@
-"""A member that falls silent or is heard again is reported once, with what decided it."""
+"""A member that becomes silent or live again is reported once, with the reason."""
 
 from pomelobarrow.decision.member import Member
 from pomelobarrow.decision.membership import MembershipView
 from pomelobarrow.peers.liveness_changes import liveness_changes
 
 
-def test_silence_and_return_are_reported_once_with_their_evidence() -> None:
+def test_silence_and_return_are_reported_once_with_their_cause() -> None:
     view = MembershipView("vm-a", "milan")
     for second in range(10):
         heard = Member(vm="vm-b", incarnation=7, region="milan", sequence=second + 1)
@@ -20,14 +20,14 @@
     assert 2.5 <= silent.allowed_silence_s < 6.0
     assert liveness_changes(view, 116.0) == []
 
-    word = Member(vm="vm-b", incarnation=7, region="milan", heard_unix_s=116.0)
-    view.observe_summary(word, 116.5, "vm-c")
+    report = Member(vm="vm-b", incarnation=7, region="milan", heard_unix_s=116.0)
+    view.observe_summary(report, 116.5, "vm-c")
     [back] = liveness_changes(view, 116.5)
     assert (back.is_live, back.told_by, back.heard_age_s) == (True, "vm-c", 0.5)
 
 
-def test_old_word_on_a_vm_that_is_gone_is_no_change() -> None:
+def test_outdated_report_on_a_vm_that_is_gone_is_no_change() -> None:
     view = MembershipView("vm-a", "milan")
-    word = Member(vm="vm-b", incarnation=7, region="milan", heard_unix_s=100.0)
-    view.observe_summary(word, 200.0, "vm-c")
+    report = Member(vm="vm-b", incarnation=7, region="milan", heard_unix_s=100.0)
+    view.observe_summary(report, 200.0, "vm-c")
     assert liveness_changes(view, 200.0) == []
--- a/tests/test_member_updates.py
+++ b/tests/test_member_updates.py
@@ -1,4 +1,4 @@
-"""What a peer tells of members, by a clock that may differ from this VM's."""
+"""Updates about members from peers, whose clocks may differ from this VM's."""
 
 from pomelobarrow.decision.clocks import ClockOffsets
 from pomelobarrow.decision.member import Member
@@ -8,24 +8,24 @@
 from pomelobarrow.peers.member_updates import MemberUpdates, SentMembers
 
 NOW_UNIX_S = 1_000.0
-HEARD_AGO_S = 9.0
+LAST_SEEN_AGO_S = 9.0
 
 
 def heartbeat_by_clock_ahead(ahead_s: float) -> pb.Heartbeat:
-    """Return a heartbeat that tells of vm-b, from a peer whose clock differs."""
+    """Return a heartbeat that describes vm-b, from a peer whose clock differs."""
     sent_unix_s = NOW_UNIX_S + ahead_s
     summaries = pb.MemberSummary(
         vm="vm-b",
         incarnation=1,
         region="milan",
         phase="ready",
-        heard_unix_s=sent_unix_s - HEARD_AGO_S,
+        heard_unix_s=sent_unix_s - LAST_SEEN_AGO_S,
     )
     return pb.Heartbeat(vm="vm-c", incarnation=1, sent_unix_s=sent_unix_s, members=[summaries])
 
 
 def take(view: MembershipView, heartbeat: pb.Heartbeat) -> None:
-    """Take in a heartbeat of a peer whose clock's offset isn't known yet."""
+    """Apply a heartbeat of a peer whose clock offset isn't known yet."""
     sent_unix_s = ClockOffsets().sent_unix_s("vm-c", heartbeat.sent_unix_s, NOW_UNIX_S)
     MemberUpdates(view).take(
         heartbeat,
@@ -37,40 +37,42 @@
     )
 
 
-def test_peer_whose_clock_is_ahead_makes_no_silent_vm_younger() -> None:
-    """A VM lost its power nine seconds ago, and callers are led to it again.
+def test_peer_whose_clock_is_ahead_does_not_make_a_silent_vm_live() -> None:
+    """Callers must not be sent again to a VM that lost its power nine seconds ago.
 
-    Another VM, started while its clock was ahead, opens a link here and tells when it heard the
-    lost one, by its own clock; how far that is off shows only with the second heartbeat. Taken as
-    a time of this VM's clock it lies in the future, and the lost VM counts as heard just now.
+    Another VM, which started while its clock was ahead, opens a link and reports by its own clock
+    when it last saw the lost VM. The offset of that clock is known only after the second heartbeat.
+    Read as a time of this VM's clock, the report lies in the future, and the lost VM would count
+    as seen just now.
     """
     view = MembershipView("vm-a", "milan")
     for number in range(20):
         heard = Member(vm="vm-b", incarnation=1, region="milan", sequence=number + 1)
-        view.observe_heartbeat(heard, NOW_UNIX_S - HEARD_AGO_S - 19 + number)
+        view.observe_heartbeat(heard, NOW_UNIX_S - LAST_SEEN_AGO_S - 19 + number)
 
     take(view, heartbeat_by_clock_ahead(20.0))
 
     assert view.suspects(NOW_UNIX_S) == {"vm-b"}
 
 
-def test_word_on_an_unknown_vm_keeps_its_age_whatever_the_peers_clock() -> None:
+def test_report_on_an_unknown_vm_keeps_its_age_whatever_the_peers_clock() -> None:
     view = MembershipView("vm-a", "milan")
     take(view, heartbeat_by_clock_ahead(20.0))
     [judgement] = view.changed_judgements(NOW_UNIX_S)
-    assert judgement.heard_age_s == HEARD_AGO_S
+    assert judgement.heard_age_s == LAST_SEEN_AGO_S
 
 
-def test_word_of_a_peer_whose_clock_is_behind_counts_as_older_at_most() -> None:
-    # It may have waited on its way; taken for older than it is, the member is only tried later.
+def test_report_of_a_peer_whose_clock_is_behind_counts_as_older_at_most() -> None:
+    # The heartbeat may have been delayed in transit. If the report counts as older than it is, the
+    # member is only tried later.
     view = MembershipView("vm-a", "milan")
     take(view, heartbeat_by_clock_ahead(-2.0))
     [judgement] = view.changed_judgements(NOW_UNIX_S)
-    assert judgement.heard_age_s == HEARD_AGO_S + 2.0
+    assert judgement.heard_age_s == LAST_SEEN_AGO_S + 2.0
 
 
 class Peer:
-    """Hold what one VM knows of members and what it has told another on their stream."""
+    """Simulate one VM that exchanges member updates with others."""
 
     def __init__(self, vm: str, members: int) -> None:
         self.view = MembershipView(vm, "milan")
@@ -88,28 +90,28 @@
         return heartbeat
 
     def receive(self, heartbeat: pb.Heartbeat) -> list[int]:
-        """Take a heartbeat; return the keys of the descriptions to ask for."""
+        """Apply a heartbeat; return the keys of the descriptions to request."""
         self.updates.take(
             heartbeat, self.sent, LinkKind.COLUMN, False, NOW_UNIX_S, heartbeat.sent_unix_s
         )
         return self.ask(heartbeat, NOW_UNIX_S)
 
     def ask(self, heartbeat: pb.Heartbeat, now_unix_s: float) -> list[int]:
-        """Return the keys of the descriptions to ask a peer for at some time."""
+        """Return the keys of the descriptions to request from a peer at a given time."""
         sent = self.streams.setdefault(heartbeat.vm, SentMembers())
         return self.updates.missing_keys(sent, heartbeat.member_keys, now_unix_s)
 
     def receive_answer(self, summaries: list[pb.MemberSummary], peer: str) -> None:
-        """Take what a peer answers."""
+        """Apply a peer's answer."""
         self.updates.receive_descriptions(summaries, peer, LinkKind.COLUMN, NOW_UNIX_S, 0.0)
         self.updates.note_answered(self.streams[peer])
 
 
-def test_descriptions_are_told_once_to_a_vm_that_lacks_them() -> None:
-    """A VM joins a fleet of many and gets each description from every neighbour.
+def test_descriptions_are_sent_once_to_a_vm_that_lacks_them() -> None:
+    """A VM that joins a large fleet must not get each description from every neighbour.
 
-    Two neighbours tell it of the same members at the same time. It asks the first one only, and
-    tells neither of them what it has from them.
+    Two neighbours name the same members at the same time. The VM requests them from the first one
+    only, and doesn't send either of them what it received from it.
     """
     first, second, joiner = Peer("milan-1", 60), Peer("milan-2", 60), Peer("milan-3", 0)
     wanted = joiner.receive(first.heartbeat())
@@ -122,7 +124,7 @@
     assert not joiner.heartbeat().member_keys
 
 
-def test_a_peer_that_does_not_answer_is_not_asked_alone() -> None:
+def test_another_peer_is_asked_when_the_first_does_not_answer() -> None:
     first, second, joiner = Peer("milan-1", 3), Peer("milan-2", 3), Peer("milan-3", 0)
     keys = joiner.receive(first.heartbeat())
     assert joiner.ask(second.heartbeat(), NOW_UNIX_S + 1.0) == []
@@ -130,11 +132,11 @@
     assert joiner.ask(second.heartbeat(), NOW_UNIX_S + 2.0) == keys
 
 
-def test_description_is_asked_for_again_where_the_answer_was_lost() -> None:
-    """A VM that has long been ready counts as starting, and gets no work from some others.
+def test_description_is_requested_again_after_a_lost_answer() -> None:
+    """A VM that has long been ready must not still count as starting elsewhere, without work.
 
-    They were told of its new description once by each neighbour and asked one of these, whose
-    stream was closed before the answer.
+    The others received the key of its new description once from each neighbour, and requested it
+    from one whose stream was closed before the answer.
     """
     first, second, joiner = Peer("milan-1", 3), Peer("milan-2", 3), Peer("milan-3", 0)
     keys = joiner.receive(first.heartbeat())
@@ -147,8 +149,8 @@
     assert joiner.ask(first.heartbeat(), NOW_UNIX_S + 4.0) == []
 
 
-def test_description_that_nobody_holds_any_more_is_asked_for_once_a_peer() -> None:
-    """A member is described anew between the telling and the answer, which lacks the old key."""
+def test_description_that_no_peer_holds_any_more_is_requested_once_per_peer() -> None:
+    """A member's description changes before the answer, which then lacks the old key."""
     first, joiner = Peer("milan-1", 1), Peer("milan-3", 0)
     keys = joiner.receive(first.heartbeat())
     joiner.receive_answer([], "milan-1")
@@ -157,7 +159,7 @@
     assert joiner.ask(first.heartbeat(), NOW_UNIX_S + 60.0) == []
 
 
-def test_a_member_that_stops_is_told_of_anew() -> None:
+def test_new_description_of_a_stopped_member_is_sent() -> None:
     first, joiner = Peer("milan-1", 3), Peer("milan-3", 0)
     summaries = first.updates.describe(joiner.receive(first.heartbeat()))
     joiner.updates.receive_descriptions(summaries, "milan-1", LinkKind.COLUMN, NOW_UNIX_S, 0.0)
--- a/tests/test_peer_calls.py
+++ b/tests/test_peer_calls.py
@@ -1,4 +1,4 @@
-"""Test what calls between peers leave behind when their connection is lost."""
+"""Calls between peers whose connection is lost."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -18,8 +18,8 @@
 HOST = "127.0.0.1"
 
 
-class Answers(PeerHandlersStub):
-    """Answer each cancellation, and close the connection behind one when told to."""
+class CancelAnsweringPeer(PeerHandlersStub):
+    """Answer each Cancel call, and close the connection after it if closes is set."""
 
     def __init__(self) -> None:
         self.calls = 0
@@ -35,7 +35,7 @@
 
 
 @asynccontextmanager
-async def connection_to(handlers: Answers) -> AsyncIterator[SingleConnection]:
+async def connection_to(handlers: CancelAnsweringPeer) -> AsyncIterator[SingleConnection]:
     """Yield a connection to a peer with these handlers."""
     (port,) = free_ports(1)
     server = Server([handlers])
@@ -72,9 +72,9 @@
 async def test_timeout_after_a_lost_connection_is_a_timeout() -> None:
     """A caller's deadline passes after the link to a peer was lost.
 
-    The link is lost, grpclib wakes the call by cancelling it, and the deadline passes while the
-    peer is asked what became of the request. Taken for a cancellation, the deadline closed the
-    caller's connection without an answer.
+    grpclib wakes the call by cancelling it, and the deadline passes while the peer is asked for
+    the outcome of the request. If the timeout surfaced as a cancellation, the caller's connection
+    would be closed without an answer.
     """
     with pytest.raises(TimeoutError):
         await ask_after_lost_connection(deadline_s=0.05)
@@ -89,19 +89,19 @@
 
 
 async def test_calls_share_the_connection_that_the_first_one_made() -> None:
-    handlers = Answers()
+    handlers = CancelAnsweringPeer()
     async with connection_to(handlers) as connection:
         assert [await cancel(connection) for _ in range(3)] == ["unknown"] * 3
         assert handlers.calls == 3
 
 
-async def test_call_on_a_lost_connection_makes_no_other() -> None:
-    """A forward goes out on a connection that nobody watches.
+async def test_call_on_a_lost_connection_opens_no_other() -> None:
+    """A forward must not run on a connection that no heartbeat monitors.
 
-    The peer has closed the first one, and the call comes before the link has noticed. Connected
-    anew and then silent, it would keep its caller waiting until the deadline.
+    The peer has closed the first connection, and the call starts before the link has noticed. If
+    it reconnected and the peer then stopped responding, the caller would wait until the deadline.
     """
-    handlers = Answers()
+    handlers = CancelAnsweringPeer()
     handlers.closes = True
     async with connection_to(handlers) as connection:
         await cancel(connection)
@@ -112,8 +112,8 @@
     assert handlers.calls == 1
 
 
-async def test_call_on_a_closed_connection_makes_no_other() -> None:
-    handlers = Answers()
+async def test_call_on_a_closed_connection_opens_no_other() -> None:
+    handlers = CancelAnsweringPeer()
     async with connection_to(handlers) as connection:
         await cancel(connection)
         connection.close()
--- a/tests/test_peer_grid.py
+++ b/tests/test_peer_grid.py
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_news_reaches_every_vm_in_two_hops(size: int) -> None:
+def test_updates_reach_every_vm_in_two_hops(size: int) -> None:
     names = region(size)
     near = {vm: neighbours(vm, names) for vm in names}
 
@@ -54,7 +54,7 @@
         (LinkKind.COLUMN, LinkKind.COLUMN, False),
     ],
 )
-def test_news_turns_only_from_row_to_column(
+def test_updates_are_passed_on_only_from_row_to_column(
     came: LinkKind | None, to: LinkKind, is_passed: bool
 ) -> None:
     assert passes_on(came, to) is is_passed
--- a/tests/test_peer_table.py
+++ b/tests/test_peer_table.py
@@ -1,4 +1,4 @@
-"""Which of two VMs dials, whose stream is closed where both did, and who reads the platform."""
+"""Which of two VMs dials, which stream is closed if both did, and which VMs read the platform."""
 
 import asyncio
 from types import SimpleNamespace
@@ -20,7 +20,7 @@
 
 
 class FakeLink(Service):
-    """Stand in for a link that connects at once."""
+    """Stub of a link that connects at once."""
 
     is_in_use = False
 
@@ -38,7 +38,7 @@
 
 
 class Fixture:
-    """Hold the table of milan-2, which knows milan-1 and milan-3, and its clock."""
+    """The table of milan-2, which knows milan-1 and milan-3, with a simulated clock."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, phase: Phase) -> None:
         self.now_unix_s = clock.now_unix_s()
@@ -75,36 +75,36 @@
         return self._view
 
     def forget_peers(self) -> None:
-        """Let the table know nobody."""
+        """Drop all peers that the table knows."""
         self._view._records.clear()
         self._view._live.expire()
 
     async def dialed_after(self, passed_s: float = 0.0) -> set[str]:
-        """Return the peers with a dialed link after some time and a review."""
+        """Return the peers with a dialed link after the time has passed and a review."""
         self.now_unix_s += passed_s
         await self.table.review()
         return set(self.table.links)
 
 
 def stream_of(vm: str) -> PeerStream:
-    """Return a stream on which a peer has spoken."""
+    """Return a stream on which a peer has sent a message."""
     heartbeats: Heartbeats = SimpleNamespace()  # type: ignore[assignment]
     stream = PeerStream(ListedVm(vm=vm), REGION, SimpleNamespace(), heartbeats)  # type: ignore[arg-type]
     stream.is_up = True
     return stream
 
 
-async def test_the_vm_first_by_name_dials(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_the_vm_with_the_lower_name_dials(monkeypatch: pytest.MonkeyPatch) -> None:
     fixture = Fixture(monkeypatch, Phase.READY)
 
     assert await fixture.dialed_after() == {"milan-3"}
 
 
-async def test_a_vm_that_is_not_dialed_dials_itself(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A VM's two neighbours hear nothing of it, and it nothing of them.
+async def test_a_vm_dials_when_the_other_does_not(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The VM that should dial can't connect, because connections are blocked in one direction.
 
-    The one that should dial it can't: its connections there are cut one way. Without a dial of its
-    own the pair would stay apart for as long as the cut lasts.
+    If the other VM didn't dial either, the pair would stay disconnected, without heartbeats, for as
+    long as the fault lasts.
     """
     fixture = Fixture(monkeypatch, Phase.READY)
     await fixture.dialed_after()
@@ -112,7 +112,7 @@
     assert await fixture.dialed_after(AWAIT_STREAM_S) == {"milan-1", "milan-3"}
 
 
-async def test_a_vm_that_was_dialed_does_not_dial(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_vm_that_was_dialed_does_not_dial_back(monkeypatch: pytest.MonkeyPatch) -> None:
     fixture = Fixture(monkeypatch, Phase.READY)
     fixture.accepted.add(stream_of("milan-1"))
     await fixture.dialed_after()
@@ -121,7 +121,7 @@
     assert sorted(fixture.table.reachable()) == ["milan-1", "milan-3"]
 
 
-async def test_a_lost_stream_is_awaited_anew(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_vm_waits_again_after_a_lost_stream(monkeypatch: pytest.MonkeyPatch) -> None:
     fixture = Fixture(monkeypatch, Phase.READY)
     accepted = stream_of("milan-1")
     fixture.accepted.add(accepted)
@@ -132,13 +132,13 @@
     assert await fixture.dialed_after(AWAIT_STREAM_S) == {"milan-1", "milan-3"}
 
 
-async def test_an_older_stream_is_told_again_once_the_newer_one_has_ended(
+async def test_an_older_stream_is_used_again_after_the_newer_one_has_ended(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A VM that starts dials a seed and, by its name, the same VM once more, then closes one.
+    """A starting VM dials a seed and, by its name, the same VM once more, and then closes one.
 
-    The VM that accepted both forgot the other with it and said nothing on it any more. Its peer
-    gave it up as silent seconds later, and with it every forward in progress there.
+    The VM that accepted both must keep using the other stream. Without heartbeats on it, the peer
+    would close it as silent seconds later, together with every forward in progress.
     """
     fixture = Fixture(monkeypatch, Phase.READY)
     by_name, by_seed = stream_of("milan-1"), stream_of("milan-1")
@@ -151,7 +151,7 @@
 
 
 async def test_each_accepted_stream_gets_heartbeats(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A stream without heartbeats is given up as silent, with the forwards in progress on it."""
+    """A stream without heartbeats is closed as silent, with the forwards in progress on it."""
     fixture = Fixture(monkeypatch, Phase.READY)
     older, newer = stream_of("milan-1"), stream_of("milan-1")
     fixture.accepted.add(older)
@@ -161,13 +161,13 @@
     assert fixture.accepted.up() == {"milan-1": newer}
 
 
-async def test_a_starting_vm_waits_for_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_starting_vm_dials_all_peers_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     fixture = Fixture(monkeypatch, Phase.STARTING)
 
     assert await fixture.dialed_after() == {"milan-1", "milan-3"}
 
 
-async def test_of_two_streams_the_one_that_the_first_by_name_dialed_stays(
+async def test_of_two_streams_the_one_dialed_by_the_lower_name_is_kept(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     fixture = Fixture(monkeypatch, Phase.STARTING)
@@ -178,13 +178,13 @@
     assert await fixture.dialed_after() == {"milan-3"}
 
 
-async def test_a_starting_vm_that_has_read_takes_no_watchers_role_at_once(
+async def test_a_starting_vm_that_has_read_does_not_watch_at_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """All VMs of a fleet start together, and each calls the platform six times instead of two.
+    """In a fleet that starts together, each VM must not call the platform six times instead of two.
 
-    Before it has heard the others, each ranks itself among the watchers of its region and waits for
-    changes until it knows better.
+    Until it has received the others' heartbeats, each VM would rank itself among the watchers of
+    its region and wait for changes.
     """
     fixture = Fixture(monkeypatch, Phase.STARTING)
     fixture.forget_peers()
@@ -195,7 +195,7 @@
     assert fixture.table.is_watcher()
 
 
-async def test_a_starting_vm_without_the_lists_goes_on_reading(
+async def test_a_starting_vm_without_the_lists_continues_to_read(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     fixture = Fixture(monkeypatch, Phase.STARTING)
@@ -204,16 +204,16 @@
     assert fixture.table.is_watcher()
 
 
-async def test_a_peer_whose_link_is_no_longer_needed_is_not_taken_for_silent(
+async def test_a_peer_whose_link_is_no_longer_needed_does_not_count_as_silent(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A VM of another region counts as dead once the link for a forward to it is closed."""
+    """A VM of another region must not count as dead after the link for a forward is closed."""
     fixture = Fixture(monkeypatch, Phase.READY)
     turin = Member(vm="turin-1", region="turin", sequence=1)
     await fixture.table.link_to(turin)
     fixture.now_unix_s += ON_DEMAND_KEPT_S
     fixture.view.observe_heartbeat(turin, fixture.now_unix_s)
-    # As it would be for any pair of regions with relays of their own.
+    # As for any pair of regions that are linked by other VMs as relays.
     monkeypatch.setattr(fixture.table, "_wanted", lambda now: {})
 
     assert "turin-1" not in await fixture.dialed_after()
@@ -221,7 +221,7 @@
     assert "turin-1" not in fixture.view.suspects(fixture.now_unix_s + UNKNOWN_PACE_S + 0.1)
 
 
-async def test_a_peer_with_another_stream_is_judged_by_that_one(
+async def test_a_peer_with_another_stream_is_monitored_on_that_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     fixture = Fixture(monkeypatch, Phase.STARTING)
@@ -232,14 +232,14 @@
     assert fixture.view.is_heard_directly("milan-1")
 
 
-async def test_a_peer_hears_that_a_stream_is_closed_by_choice() -> None:
-    told: list[Any] = []
+async def test_a_peer_is_notified_that_a_stream_is_closed_on_purpose() -> None:
+    received: list[Any] = []
 
     class Stream:
-        """Keep what is sent, and bring nothing."""
+        """Record what is sent, and deliver nothing."""
 
         async def send_message(self, message: Any) -> None:
-            told.append(message.WhichOneof("kind"))
+            received.append(message.WhichOneof("kind"))
 
         async def recv_message(self) -> None:
             await asyncio.Event().wait()
@@ -250,4 +250,4 @@
     await stream.send_closing()
     conversation.cancel()
 
-    assert told == ["closing"]
+    assert received == ["closing"]
--- a/tests/test_peers_exchange_fuzz.py
+++ b/tests/test_peers_exchange_fuzz.py
@@ -1,4 +1,4 @@
-"""Whatever a peer says, a daemon neither fails nor loses what it holds."""
+"""No message of a peer makes a daemon fail or lose its state."""
 
 import math
 from pathlib import Path
@@ -55,7 +55,7 @@
 
 
 def build(kind: str, fields: dict[str, Any]) -> pb.PeerMessage:
-    """Return a peer's message of one kind."""
+    """Return a peer message of one kind."""
     return pb.PeerMessage(**{kind: fields})
 
 
@@ -65,7 +65,7 @@
 
 
 def daemon_parts() -> Context:
-    """Return a daemon's parts without its services."""
+    """Return a daemon's components without its services."""
     checked = check_settings(
         {
             "vm": VM,
@@ -89,13 +89,13 @@
 
 @settings(suppress_health_check=[HealthCheck.too_slow], deadline=None, max_examples=300)
 @given(st.lists(st.tuples(st.sampled_from(NAMES), MESSAGES), max_size=6))
-def test_no_message_harms_a_daemon(told: list[tuple[str, pb.PeerMessage]]) -> None:
+def test_no_peer_message_fails_a_daemon(received: list[tuple[str, pb.PeerMessage]]) -> None:
     context = daemon_parts()
     exchange, heartbeats = context.get(Exchange), context.get(Heartbeats)
     view, published = context.get(MembershipView), context.get(PublishedState)
     own, revisions = view.own, dict.fromkeys(published.copies, 0)
     replies: list[Message] = []
-    for peer_vm, message in told:
+    for peer_vm, message in received:
         exchange.handle(message, peer_vm, replies.append)
         assert view.own == own
         for name, copy in published.copies.items():
--- a/tests/test_peers_hand_over.py
+++ b/tests/test_peers_hand_over.py
@@ -40,7 +40,7 @@
 
 
 def link_to(port: int) -> PeerLink:
-    """Return the little of a link that a hand-over uses."""
+    """Return a stub with the parts of a link that a hand-over uses."""
     make: Callable[[], Channel] = lambda: Channel("127.0.0.1", port)  # noqa: E731
     return SimpleNamespace(open_channel=make, peer=SimpleNamespace(vm="milan-2"))  # type: ignore[return-value]
 
@@ -60,7 +60,7 @@
     return sent[0]
 
 
-async def test_the_successor_answers_for_each_id(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_the_successor_answers_for_every_id_state(monkeypatch: pytest.MonkeyPatch) -> None:
     ledger, ids = stopping_ledger()
     message = await captured_message(monkeypatch, ledger)
     successor = RequestIdLedger("milan-2", 1, b"t" * 32)
@@ -87,11 +87,11 @@
 
 
 @pytest.mark.parametrize("is_listening", [True, False])
-async def test_a_hand_over_in_doubt_leaves_no_id_usable_here(
+async def test_after_an_unconfirmed_hand_over_no_id_is_usable_here(
     monkeypatch: pytest.MonkeyPatch, is_listening: bool
 ) -> None:
-    # The successor takes the connection and says nothing, or is gone. Whether it has the ids is
-    # not known, so the stopping VM must run none of them and not offer them to another.
+    # The successor accepts the connection but doesn't answer, or is gone. It may or may not have
+    # the ids, so that the stopping VM must run none of them and not offer them to another VM.
     monkeypatch.setattr(module, "HAND_OVER_TIMEOUT_S", 0.05)
     server = await asyncio.start_server(lambda *_: None, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
--- a/tests/test_peers_keys.py
+++ b/tests/test_peers_keys.py
@@ -8,7 +8,7 @@
 PATH = "/pomelobarrow.peers.v1.Peer/Forward"
 
 
-def test_a_peer_is_known_by_its_name() -> None:
+def test_a_signed_call_is_attributed_to_its_vm() -> None:
     assert PeerKeys([OLD]).caller_vm(PeerKeys([OLD]).metadata("milan-1", PATH), PATH) == "milan-1"
 
 
@@ -23,19 +23,19 @@
         {MAC: "0" * 64},
     ],
 )
-def test_changed_metadata_is_no_peers(changes: dict[str, str]) -> None:
+def test_changed_metadata_does_not_authenticate(changes: dict[str, str]) -> None:
     metadata = PeerKeys([OLD]).metadata("milan-1", PATH) | changes
     assert PeerKeys([OLD, NEW]).caller_vm(metadata, PATH) is None
 
 
-def test_metadata_of_one_method_is_no_use_for_another() -> None:
+def test_metadata_of_one_method_is_invalid_for_another() -> None:
     metadata = PeerKeys([OLD]).metadata("milan-1", "/pomelobarrow.peers.v1.Peer/Exchange")
     assert PeerKeys([OLD]).caller_vm(metadata, PATH) is None
 
 
-def test_keys_are_replaced_in_turn() -> None:
-    # Each step may be rolled out VM by VM: whoever signs, every VM of this and the next step knows
-    # the key.
+def test_keys_can_be_rotated() -> None:
+    # Each step may be rolled out VM by VM: the signing key of either step is known to every VM of
+    # both steps.
     steps = [[OLD], [OLD, NEW], [NEW, OLD], [NEW]]
     for before, after in zip(steps, steps[1:], strict=False):
         for signing, checking in ((before, after), (after, before)):
@@ -43,5 +43,5 @@
             assert PeerKeys(checking).caller_vm(metadata, PATH) == "milan-1"
 
 
-def test_a_key_shows_no_secret() -> None:
+def test_representation_of_keys_contains_no_secret() -> None:
     assert OLD.secret not in repr(PeerKeys([OLD]))
--- a/tests/test_region_loads.py
+++ b/tests/test_region_loads.py
@@ -1,4 +1,4 @@
-"""A region that was lost is known as one when it is heard again."""
+"""A region that was lost is recorded as returned when its loads arrive again."""
 
 import pytest
 
@@ -27,10 +27,11 @@
 
 
 @pytest.mark.parametrize("held_back_s", [0.0, 2.4, LOST_AFTER_S])
-def test_region_heard_again_returns_at_that_time(held_back_s: float) -> None:
-    # Callers of a region that was lost wait while all its work comes home to cold caches at once.
-    # The region is cut off; its connection holds heartbeats back; the cut heals and delivers them
-    # first, measured seconds earlier. Counted by its measurements, the silence was too short.
+def test_returned_region_has_the_time_of_its_first_new_load(held_back_s: float) -> None:
+    # Callers of a region wait if all its work returns to cold caches at once after a partition.
+    # While the region is partitioned, its connection buffers heartbeats. They are delivered first
+    # when the partition ends, and were measured seconds earlier. By measurement times the gap would
+    # be too short for the region to count as lost.
     loads = RegionLoads(started_unix_s=CUT_UNIX_S)
     loads.observe(load(CUT_UNIX_S), CUT_UNIX_S)
     loads.observe(load(HEALED_UNIX_S - held_back_s), HEALED_UNIX_S)
@@ -38,15 +39,16 @@
     assert returned_unix_s(loads) == HEALED_UNIX_S
 
 
-def test_region_first_heard_late_returns_at_that_time() -> None:
-    # A VM starts, the region is cut off before the two have spoken, and the cut heals. The region
-    # is heard for the first time and was yet lost; taken as new, all its work came home at once.
+def test_region_first_received_late_counts_as_returned() -> None:
+    # The region is partitioned before a starting VM receives anything from it, and the partition
+    # ends. The first load must count as a return. Treated as new, the region would get all its work
+    # back at once.
     loads = RegionLoads(started_unix_s=CUT_UNIX_S)
     loads.observe(load(HEALED_UNIX_S), HEALED_UNIX_S)
     assert returned_unix_s(loads) == HEALED_UNIX_S
 
 
-def test_region_heard_all_along_has_not_returned() -> None:
+def test_region_with_continuous_loads_has_not_returned() -> None:
     loads = RegionLoads(started_unix_s=CUT_UNIX_S)
     for second in range(30):
         loads.observe(load(CUT_UNIX_S + second), CUT_UNIX_S + second)
--- a/tests/test_service_time_updates.py
+++ b/tests/test_service_time_updates.py
@@ -1,4 +1,4 @@
-"""Neighbours tell each other how long the servers of a pool take."""
+"""Neighbours exchange the service times of a pool's servers."""
 
 import pytest
 from work_builders import POOL, table_of
@@ -28,7 +28,7 @@
     return heartbeat
 
 
-def test_a_neighbour_takes_over_what_was_seen(sender: ServiceTimeUpdates) -> None:
+def test_a_neighbour_adopts_received_service_times(sender: ServiceTimeUpdates) -> None:
     receiver = ServiceTimeUpdates(table_of(1))
     receiver.take(heartbeat_of(sender, SentServiceTimes(), NOW_UNIX_S), NOW_UNIX_S)
 
@@ -36,14 +36,14 @@
     assert heard == pytest.approx(1e-5, rel=0.05)
 
 
-def test_nothing_new_is_not_told_again(sender: ServiceTimeUpdates) -> None:
+def test_unchanged_sums_are_not_sent_again(sender: ServiceTimeUpdates) -> None:
     sent = SentServiceTimes()
     heartbeat_of(sender, sent, NOW_UNIX_S)
 
     assert not heartbeat_of(sender, sent, NOW_UNIX_S + SEND_INTERVAL_S).times
 
 
-def test_news_waits_until_the_peer_may_be_told_again(sender: ServiceTimeUpdates) -> None:
+def test_new_samples_are_sent_after_the_send_interval(sender: ServiceTimeUpdates) -> None:
     sent = SentServiceTimes()
     heartbeat_of(sender, sent, NOW_UNIX_S)
     sender.table.service_times(POOL).observe_finish(1.0)
@@ -52,7 +52,7 @@
     assert heartbeat_of(sender, sent, NOW_UNIX_S + SEND_INTERVAL_S).times
 
 
-def test_pools_without_servers_here_are_left_out(sender: ServiceTimeUpdates) -> None:
+def test_pools_without_local_servers_are_ignored(sender: ServiceTimeUpdates) -> None:
     heartbeat = heartbeat_of(sender, SentServiceTimes(), NOW_UNIX_S)
     heartbeat.times[0].pool = "elsewhere"
     receiver = ServiceTimeUpdates(table_of(1))
--- a/tests/test_state_exchange.py
+++ b/tests/test_state_exchange.py
@@ -1,4 +1,4 @@
-"""What the daemons of a simulated region know of each other after some seconds."""
+"""State that the daemons of a simulated region have of each other after some seconds."""
 
 import pytest
 
@@ -15,7 +15,7 @@
     return region
 
 
-def test_every_daemon_hears_of_every_other(warm_region: SimulatedRegion) -> None:
+def test_every_daemon_knows_every_other(warm_region: SimulatedRegion) -> None:
     now = warm_region.clock.unix_s
 
     for node in warm_region.nodes.values():
@@ -41,9 +41,9 @@
 
 
 def test_a_dead_daemon_is_suspected_within_seconds(warm_region: SimulatedRegion) -> None:
-    """A VM dies in a region so large that most VMs exchange nothing with it.
+    """A VM fails in a region so large that most VMs exchange no messages with it.
 
-    Its neighbours miss its heartbeats; the others only miss the words on it. All must stop
+    Its neighbours miss its heartbeats; the others only miss the reports on it. All must stop
     choosing it within a few seconds.
     """
     dead = "r00-vm005"
@@ -57,12 +57,12 @@
     assert {vm for node in others for vm in node.view.suspects(now)} == {dead}
 
 
-# What a daemon may send and receive for control, of the size that the design is built towards.
+# Limit of the control traffic sent and received per daemon, in a fleet of the design size.
 BYTES_BUDGET_PER_S = 21_000
 LARGE_REGION = RegionSize(daemons=65, servers=46, other_daemons=275, other_regions=16, accounts=60)
 
 
-def test_exchange_of_a_large_region_keeps_its_budget_of_bytes() -> None:
+def test_exchange_of_a_large_region_stays_within_its_byte_budget() -> None:
     cost = SimulatedRegion(LARGE_REGION).run(warm_s=12, measure_s=3)
 
     assert cost.bytes_per_s < BYTES_BUDGET_PER_S
