--- a/tests/test_member_updates.py
+++ b/tests/test_member_updates.py
@@ -14,14 +14,14 @@
 def heartbeat_by_clock_ahead(ahead_s: float) -> pb.Heartbeat:
     """Return a heartbeat that describes vm-b, from a peer whose clock differs."""
     sent_unix_s = NOW_UNIX_S + ahead_s
-    summaries = pb.MemberSummary(
+    summary = pb.MemberSummary(
         vm="vm-b",
         incarnation=1,
         region="milan",
         phase="ready",
         heard_unix_s=sent_unix_s - LAST_SEEN_AGO_S,
     )
-    return pb.Heartbeat(vm="vm-c", incarnation=1, sent_unix_s=sent_unix_s, members=[summaries])
+    return pb.Heartbeat(vm="vm-c", incarnation=1, sent_unix_s=sent_unix_s, members=[summary])
 
 
 def take(view: MembershipView, heartbeat: pb.Heartbeat) -> None:
@@ -79,10 +79,10 @@
         self.updates, self.sent = MemberUpdates(self.view), SentMembers()
         self.streams: dict[str, SentMembers] = {}
         for number in range(members):
-            summaries = Member(
+            member = Member(
                 vm=f"vm-{number:03d}", incarnation=1, region="milan", heard_unix_s=999.0
             )
-            self.view.observe_summary(summaries, NOW_UNIX_S)
+            self.view.observe_summary(member, NOW_UNIX_S)
 
     def heartbeat(self) -> pb.Heartbeat:
         heartbeat = pb.Heartbeat(vm=self.view.own_vm, incarnation=1, sent_unix_s=NOW_UNIX_S)
