--- a/src/pomelobarrow/peers/table.py
+++ b/src/pomelobarrow/peers/table.py
@@ -283,9 +283,9 @@
         if vm.startswith(SEED_PREFIX):
             name = self.links[vm].peer.vm
             return name == vm or name not in self.links
-        is_asked_for = now < self._on_demand_until_unix_s.get(vm, 0.0)
+        is_on_demand = now < self._on_demand_until_unix_s.get(vm, 0.0)
         is_wanted = vm in wanted and not self._is_second_stream(vm)
-        return is_wanted or is_asked_for or self.links[vm].is_in_use
+        return is_wanted or is_on_demand or self.links[vm].is_in_use
 
     def _is_second_stream(self, vm: str) -> bool:
         """Return whether both VMs have dialed and the stream dialed here is the one to close."""
--- a/tests/test_liveness_changes.py
+++ b/tests/test_liveness_changes.py
@@ -8,8 +8,8 @@
 def test_silence_and_return_are_reported_once_with_their_cause() -> None:
     view = MembershipView("vm-a", "milan")
     for second in range(10):
-        heard = Member(vm="vm-b", incarnation=7, region="milan", sequence=second + 1)
-        view.observe_heartbeat(heard, 100.0 + second)
+        member = Member(vm="vm-b", incarnation=7, region="milan", sequence=second + 1)
+        view.observe_heartbeat(member, 100.0 + second)
     [first] = liveness_changes(view, 109.0)
     assert (first.member, first.is_live, first.told_by) == ("vm-b", True, "")
     assert liveness_changes(view, 110.0) == []
--- a/tests/test_member_updates.py
+++ b/tests/test_member_updates.py
@@ -47,8 +47,8 @@
     """
     view = MembershipView("vm-a", "milan")
     for number in range(20):
-        heard = Member(vm="vm-b", incarnation=1, region="milan", sequence=number + 1)
-        view.observe_heartbeat(heard, NOW_UNIX_S - LAST_SEEN_AGO_S - 19 + number)
+        member = Member(vm="vm-b", incarnation=1, region="milan", sequence=number + 1)
+        view.observe_heartbeat(member, NOW_UNIX_S - LAST_SEEN_AGO_S - 19 + number)
 
     take(view, heartbeat_by_clock_ahead(20.0))
 
--- a/tests/test_peer_grid.py
+++ b/tests/test_peer_grid.py
@@ -12,21 +12,21 @@
 @pytest.mark.parametrize("size", SIZES)
 def test_both_ends_agree_on_their_kind(size: int) -> None:
     names = region(size)
-    near = {vm: neighbours(vm, names) for vm in names}
+    peers = {vm: neighbours(vm, names) for vm in names}
 
-    assert all(vm in near[other].row for vm in names for other in near[vm].row)
-    assert all(vm in near[other].column for vm in names for other in near[vm].column)
+    assert all(vm in peers[other].row for vm in names for other in peers[vm].row)
+    assert all(vm in peers[other].column for vm in names for other in peers[vm].column)
 
 
 @pytest.mark.parametrize("size", SIZES)
 def test_updates_reach_every_vm_in_two_hops(size: int) -> None:
     names = region(size)
-    near = {vm: neighbours(vm, names) for vm in names}
+    peers = {vm: neighbours(vm, names) for vm in names}
 
     for vm in names:
-        reached = set(near[vm].all)
-        for first in near[vm].row:
-            reached |= near[first].column
+        reached = set(peers[vm].all)
+        for first in peers[vm].row:
+            reached |= peers[first].column
         assert reached >= set(names) - {vm}
 
 
@@ -38,9 +38,9 @@
 
 
 def test_a_small_region_passes_nothing_on() -> None:
-    near = neighbours("vm000", region(FULL_MESH_MAX_VMS))
+    peers = neighbours("vm000", region(FULL_MESH_MAX_VMS))
 
-    assert (near.row, near.is_sparse) == (frozenset(), False)
+    assert (peers.row, peers.is_sparse) == (frozenset(), False)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_service_time_updates.py
+++ b/tests/test_service_time_updates.py
@@ -32,8 +32,8 @@
     receiver = ServiceTimeUpdates(table_of(1))
     receiver.take(heartbeat_of(sender, SentServiceTimes(), NOW_UNIX_S), NOW_UNIX_S)
 
-    heard = receiver.table.service_times(POOL).s_per_prefill_token
-    assert heard == pytest.approx(1e-5, rel=0.05)
+    learned = receiver.table.service_times(POOL).s_per_prefill_token
+    assert learned == pytest.approx(1e-5, rel=0.05)
 
 
 def test_unchanged_sums_are_not_sent_again(sender: ServiceTimeUpdates) -> None:
