--- a/tests/test_peer_table.py
+++ b/tests/test_peer_table.py
@@ -20,7 +20,7 @@
 
 
 class FakeLink(Service):
-    """Stub of a link that connects at once."""
+    """Stub a link that connects at once."""
 
     is_in_use = False
 
@@ -38,7 +38,7 @@
 
 
 class Fixture:
-    """The table of milan-2, which knows milan-1 and milan-3, with a simulated clock."""
+    """Simulate the table of milan-2, which knows milan-1 and milan-3, and its clock."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, phase: Phase) -> None:
         self.now_unix_s = clock.now_unix_s()
