--- a/src/pomelobarrow/peers/crash_updates.py
+++ b/src/pomelobarrow/peers/crash_updates.py
@@ -6,7 +6,13 @@
 from attrs import define, field
 
 from pomelobarrow.decision.clocks import ClockOffsets
-from pomelobarrow.decision.crash_suspects import KEPT_S, Answered, Crash, CrashSuspects, Finding
+from pomelobarrow.decision.crash_suspects import (
+    CRASH_RETENTION_S,
+    Answered,
+    Crash,
+    CrashSuspects,
+    Finding,
+)
 from pomelobarrow.kernel.clock import now_unix_s
 from pomelobarrow.peers import peers_pb2 as pb
 from pomelobarrow.peers.ages import age_ms, unix_s_from_age
@@ -47,7 +53,7 @@
         for each in message.findings:
             unix_s = unix_s_from_age(each.age_ms, sent_unix_s)
             # Also false for NaN.
-            if now - KEPT_S < unix_s <= now:
+            if now - CRASH_RETENTION_S < unix_s <= now:
                 new_findings += self.suspects.note(_finding(each, unix_s))
         self.tell(new_findings, peer_vm)
 
--- a/src/pomelobarrow/peers/forward_server.py
+++ b/src/pomelobarrow/peers/forward_server.py
@@ -7,10 +7,10 @@
 from attrs import define, evolve, field
 from grpclib.exceptions import StreamTerminatedError
 
-from pomelobarrow.decision.attempt import run_verdict
+from pomelobarrow.decision.attempt import run_status
 from pomelobarrow.decision.clocks import ClockOffsets
 from pomelobarrow.decision.configuration import Configuration, Rank, WorkClass
-from pomelobarrow.decision.errors import Kind, Refusal, Run
+from pomelobarrow.decision.errors import ErrorKind, Refusal, RunStatus
 from pomelobarrow.decision.work import Work
 from pomelobarrow.dispatch.answers import AnswerHead, CallerGoneError
 from pomelobarrow.dispatch.entry import EntryDispatch
@@ -51,7 +51,7 @@
         """Send the end of a complete answer."""
         await self.send(pb.ForwardEvent(end=pb.End(complete=True)))
 
-    async def broken(self, refusal: Refusal) -> None:
+    async def abort(self, refusal: Refusal) -> None:
         """Send the end of an incomplete answer."""
         await self.send(pb.ForwardEvent(end=pb.End(complete=False, detail=refusal.detail)))
 
@@ -89,7 +89,7 @@
         if not self.task.cancelled() or self.request.is_claimed:
             return UNKNOWN
         states = [attempt.state for attempt in self.request.attempts]
-        return NOT_RUN if run_verdict(states) is Run.NO else UNKNOWN
+        return NOT_RUN if run_status(states) is RunStatus.NO else UNKNOWN
 
 
 @define(kw_only=True)
@@ -144,14 +144,14 @@
         # example because this process was paused. The request must not run after that answer.
         if self.registry.is_cancelled(key):
             return refuse(
-                Kind.DEADLINE_PASSED,
+                ErrorKind.DEADLINE_PASSED,
                 _run_before_ledger_check(message),
                 "the entry VM has cancelled the request",
             )
         request = self._request(message, vm)
         if isinstance(request, Refusal):
             return request
-        request = evolve(request, is_reader_lost=sink.is_lost)
+        request = evolve(request, is_link_lost=sink.is_lost)
         answer = self.entry.dispatch_forwarded(request, sink)
         try:
             return await self._await_answer(key, request, sink, answer)
@@ -162,7 +162,7 @@
         # A claimed request continues without its stream.
         if request.is_claimed or key in self._running:
             return
-        if run_verdict(attempt.state for attempt in request.attempts) is Run.NO:
+        if run_status(attempt.state for attempt in request.attempts) is RunStatus.NO:
             self.registry.note_unrun(key, request.work.deadline_unix_s, now_unix_s())
 
     async def _resume(
@@ -171,7 +171,7 @@
         request = self._request(message.request, vm)
         if isinstance(request, Refusal):
             return request
-        request = evolve(request, is_reader_lost=sink.is_lost)
+        request = evolve(request, is_link_lost=sink.is_lost)
         key = ForwardKey(vm, message.request.forwarded_by_incarnation, message.request.serial)
         answer = self.entry.resume_forwarded(request, message.server, message.from_event, sink)
         return await self._await_answer(key, request, sink, answer)
@@ -212,21 +212,23 @@
         # The entry VM sent it before it learned that this VM stops. If it started after the check
         # for idleness, it would be aborted and its outcome lost; a refusal lets it run elsewhere.
         if self.is_draining() and not message.is_claim:
-            return refuse(Kind.DRAINING, Run.NO, "this VM is stopping")
+            return refuse(ErrorKind.DRAINING, RunStatus.NO, "this VM is stopping")
         configuration = self.configuration()
         work_class = configuration.classes.get(message.class_name) if configuration else None
         if work_class is None:
             return refuse(
-                Kind.NOT_READY,
+                ErrorKind.NOT_READY,
                 _run_before_ledger_check(message),
                 "the executing VM doesn't know the class yet",
             )
         is_bound = work_class.home_bound or message.home_bound
         if is_bound and not _is_home(message, configuration):
-            return refuse(Kind.BAD_HOME_REGION, Run.NO, "the account's home is another region")
+            return refuse(
+                ErrorKind.BAD_HOME_REGION, RunStatus.NO, "the account's home is another region"
+            )
         deadline_unix_s = self.offsets.to_local(vm, message.deadline_unix_s) - self._one_way_s(vm)
         if deadline_unix_s <= now_unix_s() and not message.is_claim:
-            return refuse(Kind.DEADLINE_PASSED, Run.NO, "the deadline passed in transit")
+            return refuse(ErrorKind.DEADLINE_PASSED, RunStatus.NO, "the deadline passed in transit")
         return GatewayRequest(
             work=_work(message, work_class, deadline_unix_s),
             work_class=work_class,
@@ -242,12 +244,12 @@
         )
 
 
-def _run_before_ledger_check(message: pb.ForwardRequest) -> Run:
+def _run_before_ledger_check(message: pb.ForwardRequest) -> RunStatus:
     """Return what a refusal sent before the ledger is consulted may state.
 
     An earlier request under the same issued id may have run here; only the ledger records that.
     """
-    return Run.UNKNOWN if message.is_claim else Run.NO
+    return RunStatus.UNKNOWN if message.is_claim else RunStatus.NO
 
 
 def _is_home(message: pb.ForwardRequest, configuration: Configuration | None) -> bool:
--- a/src/pomelobarrow/peers/heartbeats.py
+++ b/src/pomelobarrow/peers/heartbeats.py
@@ -92,7 +92,7 @@
         """Set the peers of the region that this VM exchanges heartbeats with."""
         self.neighbours = neighbours
         self.limits.set_region_vms(neighbours.region_vms)
-        self.local.table.reading.region_vms = neighbours.region_vms
+        self.local.table.prefill_rates.region_vms = neighbours.region_vms
 
     def brief(self, peer: str) -> pb.Heartbeat:
         """Return a heartbeat without loads: own identity, phase and keyspace revisions."""
--- a/src/pomelobarrow/peers/liveness_changes.py
+++ b/src/pomelobarrow/peers/liveness_changes.py
@@ -1,16 +1,16 @@
 """Report members that become silent in this VM's view or are live again."""
 
-from pomelobarrow.decision.member_record import Judgement
+from pomelobarrow.decision.member_record import LivenessStatus
 from pomelobarrow.decision.membership import MembershipView
 from pomelobarrow.peers.events import MemberLivenessChanged
 
 
 def liveness_changes(view: MembershipView, now_unix_s: float) -> list[MemberLivenessChanged]:
     """Return the members whose liveness has changed since the last call."""
-    return [_liveness_change(each) for each in view.changed_judgements(now_unix_s)]
+    return [_liveness_change(each) for each in view.liveness_changes(now_unix_s)]
 
 
-def _liveness_change(judgement: Judgement) -> MemberLivenessChanged:
+def _liveness_change(judgement: LivenessStatus) -> MemberLivenessChanged:
     return MemberLivenessChanged(
         member=judgement.member.vm,
         incarnation=judgement.member.incarnation,
--- a/src/pomelobarrow/peers/member_updates.py
+++ b/src/pomelobarrow/peers/member_updates.py
@@ -190,7 +190,7 @@
             is_sparse and member is not None and member.region == self.view.own_region
         )
         timeout_s = INDIRECT_REPORT_TIMEOUT_S if is_in_sparse_region else None
-        if self.view.observe_alive(
+        if self.view.observe_last_seen(
             vm, incarnation, heard_unix_s, now_unix_s, timeout_s, reported_by
         ):
             self._source_kind[vm] = kind
--- a/src/pomelobarrow/peers/service_time_updates.py
+++ b/src/pomelobarrow/peers/service_time_updates.py
@@ -30,7 +30,7 @@
         """Add the pools with new samples and those to which this VM sends prompts."""
         for pool, times in self.table.all_service_times():
             entry = pb.PoolTimes(pool=pool)
-            entry.reading_tokens_per_s = self.table.reading.own_per_s(pool, now_unix_s)
+            entry.reading_tokens_per_s = self.table.prefill_rates.own_tokens_per_s(pool, now_unix_s)
             has_new_samples = times.samples > sent.samples.get(pool, 0)
             if has_new_samples and now_unix_s >= sent.next_unix_s.get(pool, 0.0):
                 sent.samples[pool] = times.samples
@@ -48,6 +48,6 @@
         for entry in heartbeat.times:
             if not table.pool_servers(entry.pool):
                 continue
-            table.reading.observe_peer(vm, entry.pool, entry.reading_tokens_per_s, now_unix_s)
+            table.prefill_rates.observe_peer(vm, entry.pool, entry.reading_tokens_per_s, now_unix_s)
             if entry.sums:
                 table.service_times(entry.pool).observe_peer(vm, entry.sums)
--- a/src/pomelobarrow/peers/table.py
+++ b/src/pomelobarrow/peers/table.py
@@ -244,7 +244,7 @@
     def _wanted(self, now: float) -> dict[str, ListedVm]:
         rotation = int(now / CONTACT_ROTATION_S)
         wanted_by_rotation: dict[int, dict[str, ListedVm]]
-        wanted_by_rotation = self._view.derived("wanted peers", dict, now)
+        wanted_by_rotation = self._view.memoized("wanted peers", dict, now)
         if rotation not in wanted_by_rotation:
             wanted_by_rotation.clear()
             wanted_by_rotation[rotation] = self._choose_wanted(now)
@@ -309,7 +309,7 @@
         await self.remove_dependency(link)
         await link.stop()
         if is_up and link.peer.vm not in self._streams_up():
-            self._view.observe_unlinked(link.peer.vm, now_unix_s())
+            self._view.observe_link_closed(link.peer.vm, now_unix_s())
 
     def _on_applied(self, name: str, source: str) -> None:
         if name == VMS:
--- a/tests/test_member_updates.py
+++ b/tests/test_member_updates.py
@@ -58,7 +58,7 @@
 def test_report_on_an_unknown_vm_keeps_its_age_whatever_the_peers_clock() -> None:
     view = MembershipView("vm-a", "milan")
     take(view, heartbeat_by_clock_ahead(20.0))
-    [judgement] = view.changed_judgements(NOW_UNIX_S)
+    [judgement] = view.liveness_changes(NOW_UNIX_S)
     assert judgement.heard_age_s == LAST_SEEN_AGO_S
 
 
@@ -67,7 +67,7 @@
     # member is only tried later.
     view = MembershipView("vm-a", "milan")
     take(view, heartbeat_by_clock_ahead(-2.0))
-    [judgement] = view.changed_judgements(NOW_UNIX_S)
+    [judgement] = view.liveness_changes(NOW_UNIX_S)
     assert judgement.heard_age_s == LAST_SEEN_AGO_S + 2.0
 
 
