--- a/src/pomelobarrow/peers/liveness_changes.py
+++ b/src/pomelobarrow/peers/liveness_changes.py
@@ -10,13 +10,13 @@
     return [_liveness_change(each) for each in view.liveness_changes(now_unix_s)]
 
 
-def _liveness_change(judgement: LivenessStatus) -> MemberLivenessChanged:
+def _liveness_change(status: LivenessStatus) -> MemberLivenessChanged:
     return MemberLivenessChanged(
-        member=judgement.member.vm,
-        incarnation=judgement.member.incarnation,
-        phase=judgement.member.phase,
-        is_live=judgement.is_live,
-        told_by=judgement.told_by,
-        heard_age_s=round(judgement.heard_age_s, 3),
-        allowed_silence_s=round(judgement.allowed_silence_s, 3),
+        member=status.member.vm,
+        incarnation=status.member.incarnation,
+        phase=status.member.phase,
+        is_live=status.is_live,
+        told_by=status.reported_by,
+        heard_age_s=round(status.last_seen_age_s, 3),
+        allowed_silence_s=round(status.allowed_silence_s, 3),
     )
--- a/src/pomelobarrow/peers/member_updates.py
+++ b/src/pomelobarrow/peers/member_updates.py
@@ -42,7 +42,7 @@
     # Keys that the peer has named and this VM lacks, and the keys that the peer was asked for.
     awaited_keys: dict[int, None] = field(factory=dict)
     asked_keys: set[int] = field(factory=set)
-    heard_unix_s: dict[str, float] = field(factory=dict)
+    last_seen_unix_s: dict[str, float] = field(factory=dict)
 
 
 @define
@@ -82,10 +82,10 @@
         self._refresh(now_unix_s)
         self._write_description_keys(heartbeat, sent)
         for member, every_s in self._members_reported_to(kind, neighbours):
-            heard_unix_s = self.view.heard_unix_s(member.vm)
-            newer_s = heard_unix_s - sent.heard_unix_s.get(member.vm, 0.0)
+            last_seen_unix_s = self.view.last_seen_unix_s(member.vm)
+            newer_s = last_seen_unix_s - sent.last_seen_unix_s.get(member.vm, 0.0)
             if newer_s >= every_s and member.vm != peer:
-                self._write_last_seen(heartbeat, sent, member.vm, heard_unix_s, now_unix_s)
+                self._write_last_seen(heartbeat, sent, member.vm, last_seen_unix_s, now_unix_s)
             if len(heartbeat.heard_keys) >= LAST_SEEN_PER_HEARTBEAT:
                 return
 
@@ -104,9 +104,9 @@
         self.receive_descriptions(heartbeat.members, heartbeat.vm, kind, now_unix_s, behind_s)
         for key, age in zip(heartbeat.heard_keys, heartbeat.heard_ages, strict=False):
             if key in self._member_by_key:
-                heard_unix_s = sent_unix_s - age * AGE_UNIT_S
+                last_seen_unix_s = sent_unix_s - age * AGE_UNIT_S
                 self._apply_last_seen(
-                    key, heard_unix_s, sent, kind, is_sparse, now_unix_s, heartbeat.vm
+                    key, last_seen_unix_s, sent, kind, is_sparse, now_unix_s, heartbeat.vm
                 )
 
     def receive_descriptions(
@@ -123,7 +123,7 @@
             has_any = True
             member = _summarized(summary, summary.heard_unix_s - clock_ahead_s)
             # A VM that has a more recent report of a member continues to pass that one on.
-            is_fresher = self.view.heard_unix_s(member.vm) < member.heard_unix_s
+            is_fresher = self.view.last_seen_unix_s(member.vm) < member.last_seen_unix_s
             self.view.observe_summary(member, now_unix_s, reported_by)
             if is_fresher:
                 self._source_kind[member.vm] = kind
@@ -157,7 +157,7 @@
         """Return the current descriptions of the members whose keys a peer requested."""
         vms = dict.fromkeys(vm for key in keys if (vm := self._vm_by_description.get(key)))
         members = (self.view.get(vm) for vm in vms)
-        return [_summary(each, self.view.heard_unix_s(each.vm)) for each in members if each]
+        return [_summary(each, self.view.last_seen_unix_s(each.vm)) for each in members if each]
 
     def note_direct_contact(self, vm: str, kind: LinkKind) -> None:
         """Note that a message came from the member itself."""
@@ -176,7 +176,7 @@
     def _apply_last_seen(
         self,
         key: int,
-        heard_unix_s: float,
+        last_seen_unix_s: float,
         sent: SentMembers,
         kind: LinkKind,
         is_sparse: bool,
@@ -184,14 +184,14 @@
         reported_by: str,
     ) -> None:
         vm, incarnation = self._member_by_key[key]
-        sent.heard_unix_s[vm] = max(sent.heard_unix_s.get(vm, 0.0), heard_unix_s)
+        sent.last_seen_unix_s[vm] = max(sent.last_seen_unix_s.get(vm, 0.0), last_seen_unix_s)
         member = self.view.get(vm)
         is_in_sparse_region = (
             is_sparse and member is not None and member.region == self.view.own_region
         )
         timeout_s = INDIRECT_REPORT_TIMEOUT_S if is_in_sparse_region else None
         if self.view.observe_last_seen(
-            vm, incarnation, heard_unix_s, now_unix_s, timeout_s, reported_by
+            vm, incarnation, last_seen_unix_s, now_unix_s, timeout_s, reported_by
         ):
             self._source_kind[vm] = kind
 
@@ -267,19 +267,19 @@
         heartbeat: pb.Heartbeat,
         sent: SentMembers,
         vm: str,
-        heard_unix_s: float,
+        last_seen_unix_s: float,
         now_unix_s: float,
     ) -> None:
-        age_s = now_unix_s - heard_unix_s
+        age_s = now_unix_s - last_seen_unix_s
         key = self._key_by_vm.get(vm)
         if key is None or not 0 <= age_s <= MAX_AGE_S:
             return
-        sent.heard_unix_s[vm] = heard_unix_s
+        sent.last_seen_unix_s[vm] = last_seen_unix_s
         heartbeat.heard_keys.append(key)
         heartbeat.heard_ages.append(round(age_s / AGE_UNIT_S))
 
 
-def _summarized(each: pb.MemberSummary, heard_unix_s: float) -> Member:
+def _summarized(each: pb.MemberSummary, last_seen_unix_s: float) -> Member:
     return Member(
         vm=each.vm,
         incarnation=each.incarnation,
@@ -288,12 +288,12 @@
         caller_address=each.caller_address,
         peer_address=each.peer_address,
         phase=each.phase,
-        heard_unix_s=heard_unix_s,
+        last_seen_unix_s=last_seen_unix_s,
         successor=each.successor,
     )
 
 
-def _summary(member: Member, heard_unix_s: float) -> pb.MemberSummary:
+def _summary(member: Member, last_seen_unix_s: float) -> pb.MemberSummary:
     return pb.MemberSummary(
         vm=member.vm,
         incarnation=member.incarnation,
@@ -302,6 +302,6 @@
         caller_address=member.caller_address,
         peer_address=member.peer_address,
         phase=member.phase,
-        heard_unix_s=heard_unix_s,
+        heard_unix_s=last_seen_unix_s,
         successor=member.successor,
     )
--- a/src/pomelobarrow/peers/server_updates.py
+++ b/src/pomelobarrow/peers/server_updates.py
@@ -129,7 +129,7 @@
                 queued_prefill_tokens=report.queued_prefill_tokens,
                 is_leaving=report.leaving,
                 is_passed_on=is_passed_on,
-                is_glimpse=report.is_glimpse,
+                is_glimpse=report.is_partial,
             )
         )
 
@@ -198,5 +198,5 @@
         kv_tokens_used=each.kv_tokens_used,
         queued_prefill_tokens=each.queued_prefill_tokens,
         leaving=each.is_leaving,
-        is_glimpse=each.is_glimpse,
+        is_partial=each.is_glimpse,
     )
--- a/tests/test_liveness_changes.py
+++ b/tests/test_liveness_changes.py
@@ -20,7 +20,7 @@
     assert 2.5 <= silent.allowed_silence_s < 6.0
     assert liveness_changes(view, 116.0) == []
 
-    report = Member(vm="vm-b", incarnation=7, region="milan", heard_unix_s=116.0)
+    report = Member(vm="vm-b", incarnation=7, region="milan", last_seen_unix_s=116.0)
     view.observe_summary(report, 116.5, "vm-c")
     [back] = liveness_changes(view, 116.5)
     assert (back.is_live, back.told_by, back.heard_age_s) == (True, "vm-c", 0.5)
@@ -28,6 +28,6 @@
 
 def test_outdated_report_on_a_vm_that_is_gone_is_no_change() -> None:
     view = MembershipView("vm-a", "milan")
-    report = Member(vm="vm-b", incarnation=7, region="milan", heard_unix_s=100.0)
+    report = Member(vm="vm-b", incarnation=7, region="milan", last_seen_unix_s=100.0)
     view.observe_summary(report, 200.0, "vm-c")
     assert liveness_changes(view, 200.0) == []
--- a/tests/test_member_updates.py
+++ b/tests/test_member_updates.py
@@ -58,8 +58,8 @@
 def test_report_on_an_unknown_vm_keeps_its_age_whatever_the_peers_clock() -> None:
     view = MembershipView("vm-a", "milan")
     take(view, heartbeat_by_clock_ahead(20.0))
-    [judgement] = view.liveness_changes(NOW_UNIX_S)
-    assert judgement.heard_age_s == LAST_SEEN_AGO_S
+    [status] = view.liveness_changes(NOW_UNIX_S)
+    assert status.last_seen_age_s == LAST_SEEN_AGO_S
 
 
 def test_report_of_a_peer_whose_clock_is_behind_counts_as_older_at_most() -> None:
@@ -67,8 +67,8 @@
     # member is only tried later.
     view = MembershipView("vm-a", "milan")
     take(view, heartbeat_by_clock_ahead(-2.0))
-    [judgement] = view.liveness_changes(NOW_UNIX_S)
-    assert judgement.heard_age_s == LAST_SEEN_AGO_S + 2.0
+    [status] = view.liveness_changes(NOW_UNIX_S)
+    assert status.last_seen_age_s == LAST_SEEN_AGO_S + 2.0
 
 
 class Peer:
@@ -80,7 +80,7 @@
         self.streams: dict[str, SentMembers] = {}
         for number in range(members):
             member = Member(
-                vm=f"vm-{number:03d}", incarnation=1, region="milan", heard_unix_s=999.0
+                vm=f"vm-{number:03d}", incarnation=1, region="milan", last_seen_unix_s=999.0
             )
             self.view.observe_summary(member, NOW_UNIX_S)
 
--- a/tests/test_peer_table.py
+++ b/tests/test_peer_table.py
@@ -77,7 +77,7 @@
     def forget_peers(self) -> None:
         """Drop all peers that the table knows."""
         self._view._records.clear()
-        self._view._live.expire()
+        self._view._live.invalidate()
 
     async def dialed_after(self, passed_s: float = 0.0) -> set[str]:
         """Return the peers with a dialed link after the time has passed and a review."""
