--- a/src/pomelobarrow/peers/liveness_changes.py
+++ b/src/pomelobarrow/peers/liveness_changes.py
@@ -1,4 +1,4 @@
-"""Tell when a member falls silent in this VM's view, or is heard again."""
+"""Report members that become silent in this VM's view or are live again."""
 
 from pomelobarrow.decision.member_record import LivenessStatus
 from pomelobarrow.decision.membership import MembershipView
@@ -6,17 +6,17 @@
 
 
 def liveness_changes(view: MembershipView, now_unix_s: float) -> list[MemberLivenessChanged]:
-    """Return the members that are judged otherwise than at the last call."""
-    return [_judged(each) for each in view.liveness_changes(now_unix_s)]
+    """Return the members whose liveness has changed since the last call."""
+    return [_liveness_change(each) for each in view.liveness_changes(now_unix_s)]
 
 
-def _judged(judgement: LivenessStatus) -> MemberLivenessChanged:
+def _liveness_change(status: LivenessStatus) -> MemberLivenessChanged:
     return MemberLivenessChanged(
-        member=judgement.member.vm,
-        incarnation=judgement.member.incarnation,
-        phase=judgement.member.phase,
-        is_live=judgement.is_live,
-        told_by=judgement.reported_by,
-        heard_age_s=round(judgement.last_seen_age_s, 3),
-        allowed_silence_s=round(judgement.allowed_silence_s, 3),
+        member=status.member.vm,
+        incarnation=status.member.incarnation,
+        phase=status.member.phase,
+        is_live=status.is_live,
+        told_by=status.reported_by,
+        heard_age_s=round(status.last_seen_age_s, 3),
+        allowed_silence_s=round(status.allowed_silence_s, 3),
     )
