--- a/src/pomelobarrow/backends/engine.py
+++ b/src/pomelobarrow/backends/engine.py
@@ -41,7 +41,7 @@
 UPTIME_MARGIN_S = 1.0
 HEAD_STREAM = (("Content-Type", SERVER_SENT_EVENTS), ("Cache-Control", "no-cache"))
 HEAD_WHOLE = (("Content-Type", "application/json"),)
-LOST = (aiohttp.ClientError, TimeoutError, OSError)
+CONNECTION_ERRORS = (aiohttp.ClientError, TimeoutError, OSError)
 
 
 @define(kw_only=True)
@@ -96,7 +96,7 @@
             refused = await self._send()
             if refused is not None:
                 return refused
-        except LOST as error:
+        except CONNECTION_ERRORS as error:
             if self.attempt.state is AttemptState.NOT_SENT:
                 return self._result(f"not reached: {error!r}")
         return await self._resume_until_ended()
@@ -173,7 +173,7 @@
                     self.attempt.apply(AttemptEvent.FIRST_BYTE)
                 await self._relay(response.content.iter_any())
                 return True
-        except LOST:
+        except CONNECTION_ERRORS:
             await asyncio.sleep(RESUME_PAUSE_S)
             return True
 
@@ -210,7 +210,7 @@
                 self.sessions.url(self.server.address, path), timeout=timeout
             ) as response:
                 body = orjson.loads(await response.read())
-        except (*LOST, ValueError):
+        except (*CONNECTION_ERRORS, ValueError):
             return UNKNOWN
         return self._credible(body) if isinstance(body, dict) else UNKNOWN
 
--- a/src/pomelobarrow/backends/service.py
+++ b/src/pomelobarrow/backends/service.py
@@ -6,7 +6,7 @@
 import aiohttp
 from attrs import define
 
-from pomelobarrow.backends.engine import LOST, says_not_run
+from pomelobarrow.backends.engine import CONNECTION_ERRORS, says_not_run
 from pomelobarrow.backends.sessions import CONNECT_TIMEOUT_S, BackendSessions
 from pomelobarrow.decision.attempt import Attempt, AttemptEvent, AttemptState
 from pomelobarrow.decision.work import BackendServer
@@ -39,7 +39,7 @@
         try:
             async with asyncio.timeout(remaining_s):
                 return await self._call()
-        except LOST as error:
+        except CONNECTION_ERRORS as error:
             if self.attempt.state is not AttemptState.FINISHED:
                 self.attempt.apply(AttemptEvent.LOSE)
             return self._result(repr(error))
--- a/src/pomelobarrow/relay/attempt.py
+++ b/src/pomelobarrow/relay/attempt.py
@@ -7,7 +7,7 @@
 from attrs import define, field, frozen
 from yarl import URL
 
-from pomelobarrow.backends.engine import LOST
+from pomelobarrow.backends.engine import CONNECTION_ERRORS
 from pomelobarrow.backends.sessions import BackendSessions
 from pomelobarrow.decision.attempt import UNRUN_STATES, Attempt, AttemptEvent, AttemptState
 from pomelobarrow.kernel.clock import now_unix_s
@@ -84,7 +84,7 @@
             async with asyncio.timeout(None) as self._giving_up:
                 self._set_alarm()
                 return await self._exchange()
-        except LOST as error:
+        except CONNECTION_ERRORS as error:
             return self._lost(repr(error), is_closed=not isinstance(error, TimeoutError))
         finally:
             self._stop_alarm()
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -45,7 +45,7 @@
         return str(self.problem.get("run", ""))
 
     @property
-    def is_cut(self) -> bool:
+    def is_incomplete(self) -> bool:
         """Tell whether the caller got neither a whole answer nor a refusal."""
         return not self.is_answered and not self.problem
 
--- a/tests/run_checks.py
+++ b/tests/run_checks.py
@@ -19,7 +19,7 @@
 
 
 @frozen(kw_only=True)
-class Ask:
+class RequestSpec:
     """Word one kind of request; the deadline is set when it is sent."""
 
     class_name: str
@@ -55,11 +55,11 @@
         )
 
 
-QUERY = Ask(class_name="quick-query", model="contract-reader")
-WHOLE_QUERY = Ask(class_name="quick-query", model="contract-reader", is_streamed=False)
-DESK_CALL = Ask(class_name="desk-call", service="desk")
-REVIEW = Ask(class_name="contract-review", model="contract-reader")
-ONCE_CLASSES = frozenset({"quick-query", "desk-call"})
+QUERY = RequestSpec(class_name="quick-query", model="contract-reader")
+WHOLE_QUERY = RequestSpec(class_name="quick-query", model="contract-reader", is_streamed=False)
+DESK_CALL = RequestSpec(class_name="desk-call", service="desk")
+REVIEW = RequestSpec(class_name="contract-review", model="contract-reader")
+NON_REPEATABLE_CLASSES = frozenset({"quick-query", "desk-call"})
 
 
 @asynccontextmanager
@@ -89,7 +89,7 @@
         self._kept += (await self.fleet.get(address, "/admin/runs"))["runs"]
         self.fleet.processes.kill(server)
 
-    async def revive(self, server: str) -> None:
+    async def restart(self, server: str) -> None:
         """Start a killed backend server again; only then its open connections are reset."""
         self.fleet.start_server(server)
         await self.fleet.fault(f"server/*/{server}", "refuse")
@@ -124,10 +124,12 @@
     return all(peer["phase"] == "ready" and not peer["suspect"] for peer in peers)
 
 
-async def serves_again(fleet: Fleet, session: aiohttp.ClientSession, asks: Iterable[Any]) -> None:
+async def wait_until_served(
+    fleet: Fleet, session: aiohttp.ClientSession, asks: Iterable[Any]
+) -> None:
     """Return once each (ask, entry VM, account) is answered, so that no fault lingers."""
 
-    def answered(ask: Ask, vm: str, account: str) -> Callable[[], Awaitable[bool]]:
+    def answered(ask: RequestSpec, vm: str, account: str) -> Callable[[], Awaitable[bool]]:
         async def is_answered() -> bool:
             return (await ask.send(fleet, session, vm, account)).is_answered
 
@@ -136,7 +138,7 @@
     await asyncio.gather(*(wait_until(answered(*each)) for each in asks))
 
 
-def told(reply: Reply) -> str:
+def reported_outcome(reply: Reply) -> str:
     """Name what the caller was told."""
     if reply.is_answered:
         return "answered"
@@ -145,7 +147,7 @@
     return "nothing"
 
 
-def untrue(replies: Iterable[Reply], starts: Counter[str]) -> list[str]:
+def contradicted_replies(replies: Iterable[Reply], starts: Counter[str]) -> list[str]:
     """Return the replies that the run logs contradict."""
     found = []
     for reply in replies:
