--- a/src/pomelobarrow/backends/__init__.py
+++ b/src/pomelobarrow/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Speak to engines and plain services."""
+"""Send requests to engines and plain services, and poll their load."""
--- a/src/pomelobarrow/backends/engine.py
+++ b/src/pomelobarrow/backends/engine.py
@@ -26,18 +26,19 @@
 
 CHAT_PATH = "/v1/chat/completions"
 PRIORITY_BY_RANK = {Rank.PAYING: "0", Rank.TRIAL: "1"}
-# A stream on a forgotten connection brings no byte and no error. Engines step every few
-# milliseconds, so this much silence means the connection or the engine, never a slow token.
+# A connection whose state was dropped on the way delivers neither bytes nor an error. Engines
+# step every few milliseconds, so a silence this long means a lost connection or a failed engine,
+# never a slow token.
 NEXT_BYTE_TIMEOUT_S = 5.0
 CANCEL_TIMEOUT_S = 1.0
-# Past its deadline the caller waits no longer than this for the engine's word.
-LAST_WORD_S = 0.2
+# Past the deadline, the caller waits at most this long for the engine to confirm a cancellation.
+LATE_CANCEL_TIMEOUT_S = 0.2
 MAX_RESUMES = 3
-RESUME_PAUSE_S = 0.2
+RESUME_DELAY_S = 0.2
 MAX_WHOLE_ANSWER_BYTES = 16 << 20
 NOT_RUN = "not_run"
 UNKNOWN = "unknown"
-# Covers a step of this VM's clock between sending and asking.
+# Allows for a step of this VM's clock between sending the request and cancelling it.
 UPTIME_MARGIN_S = 1.0
 HEAD_STREAM = (("Content-Type", SERVER_SENT_EVENTS), ("Cache-Control", "no-cache"))
 HEAD_WHOLE = (("Content-Type", "application/json"),)
@@ -46,7 +47,7 @@
 
 @define(kw_only=True)
 class EngineAttempt:
-    """Hold what one attempt on one engine has achieved so far."""
+    """Run one attempt on one engine and track its progress."""
 
     sessions: BackendSessions
     request: GatewayRequest
@@ -60,35 +61,36 @@
     whole: WholeAnswer | None = None
     head_passed: bool = False
     sent_unix_s: float = 0.0
-    # True where another VM has sent the request and only the rest is fetched here.
-    is_rest: bool = False
+    # True if another VM has sent the request and only the remaining events are fetched here.
+    is_continuation: bool = False
 
     async def run(self) -> AttemptResult:
-        """Run to an end; a cancelled caller cancels the engine's work too."""
+        """Run the attempt to its end; cancel the engine's work if the caller disconnects."""
         if not self.request.is_streamed:
             self.whole = WholeAnswer(MAX_WHOLE_ANSWER_BYTES)
         try:
             async with asyncio.timeout(self._remaining_s()):
-                if self.is_rest:
+                if self.is_continuation:
                     return await self._resume_until_ended()
                 return await self._send_and_relay()
         except TimeoutError:
-            return await self._give_up("the deadline passed", LAST_WORD_S)
+            return await self._give_up("the deadline passed", LATE_CANCEL_TIMEOUT_S)
         except TooLargeError as error:
             return await self._give_up(str(error))
         except (CallerGoneError, asyncio.CancelledError):
             if not self._may_be_resumed():
-                await asyncio.shield(self._give_up("nobody waits for the answer"))
+                await asyncio.shield(self._give_up("the caller disconnected"))
             raise
 
     def _may_be_resumed(self) -> bool:
-        """Tell whether the entry VM may fetch the rest through another VM.
+        """Return whether the entry VM may fetch the remaining events through another VM.
 
-        When the link to the entry VM is lost, its caller may still wait. Cancelled here, the
-        engine would bring the other VM an error in the middle of the answer. The engine itself
-        drops what nobody reads for 30 s and sees every reader, which no single VM does.
+        If the link to the entry VM is lost, its caller may still be connected. Cancelling here
+        would make the engine send an error to the other VM in the middle of the answer. The
+        engine drops a request that nobody reads for 30 s, and unlike a single VM it sees all
+        readers.
         """
-        is_begun = self.is_rest or (self.head_passed and self.request.is_streamed)
+        is_begun = self.is_continuation or (self.head_passed and self.request.is_streamed)
         return is_begun and self.request.is_link_lost()
 
     async def _send_and_relay(self) -> AttemptResult:
@@ -98,7 +100,7 @@
                 return refused
         except CONNECTION_ERRORS as error:
             if self.attempt.state is AttemptState.NOT_SENT:
-                return self._result(f"not reached: {error!r}")
+                return self._result(f"connection failed: {error!r}")
         return await self._resume_until_ended()
 
     async def _send(self) -> AttemptResult | None:
@@ -109,17 +111,21 @@
             headers=self._headers(),
             timeout=_timeout(),
             allow_redirects=False,
-            trace_request_ctx=self._about_to_send,
+            trace_request_ctx=self._mark_sent,
         ) as response:
             self.on_headers(response.headers)
             if response.status != 200:
-                return await self._refused(response)
+                return await self._handle_error_status(response)
             self.attempt.apply(AttemptEvent.FIRST_BYTE)
             await self._relay(response.content.iter_any())
         return None
 
-    async def _refused(self, response: aiohttp.ClientResponse) -> AttemptResult:
-        """Take the engine's word that nothing ran; without it the outcome is unknown."""
+    async def _handle_error_status(self, response: aiohttp.ClientResponse) -> AttemptResult:
+        """End the attempt on an error status.
+
+        A 4xx answer is passed on. For any other status the outcome is unknown, unless the engine
+        states that the request did not run.
+        """
         body = await response.read()
         if says_not_run(response.status, body):
             self.attempt.apply(AttemptEvent.REFUSE_UNRUN)
@@ -129,7 +135,7 @@
             await self._pass_head(response.status, HEAD_WHOLE)
             await self.sink.chunk(body)
             return await self._finish()
-        return self._lost(f"answered {response.status}")
+        return self._unknown_result(f"answered {response.status}")
 
     async def _relay(self, chunks: AsyncIterator[bytes]) -> None:
         counter = self.counter
@@ -145,19 +151,19 @@
             await self.sink.chunk(events)
 
     async def _resume_until_ended(self) -> AttemptResult:
-        """Fetch the rest from the same engine; asking for events never runs anything again."""
-        # Only resumes that bring nothing count: a long stream may break off many times.
-        fruitless = 0
-        while not self.counter.is_ended and fruitless < MAX_RESUMES:
+        """Fetch the remaining events from the same engine, which never runs the request again."""
+        # Only resumes without new events count, as a long stream may be interrupted many times.
+        empty_resumes = 0
+        while not self.counter.is_ended and empty_resumes < MAX_RESUMES:
             events_before = self.counter.whole_events
             if not await self._resume():
                 break
-            fruitless = 0 if self.counter.whole_events > events_before else fruitless + 1
+            empty_resumes = 0 if self.counter.whole_events > events_before else empty_resumes + 1
         if self.counter.is_ended:
             return await self._finish()
         reason = "the stream broke off and could not be resumed"
-        # Where this VM can't reach the engine, another one may.
-        return self._lost(reason) if self.is_rest else await self._give_up(reason)
+        # Another VM may still reach the engine and resume, so its work isn't cancelled then.
+        return self._unknown_result(reason) if self.is_continuation else await self._give_up(reason)
 
     async def _resume(self) -> bool:
         self.counter.drop_partial()
@@ -174,16 +180,16 @@
                 await self._relay(response.content.iter_any())
                 return True
         except CONNECTION_ERRORS:
-            await asyncio.sleep(RESUME_PAUSE_S)
+            await asyncio.sleep(RESUME_DELAY_S)
             return True
 
-    async def _give_up(self, reason: str, within_s: float = CANCEL_TIMEOUT_S) -> AttemptResult:
-        """End the attempt; only the engine's word that it never began makes it "not run"."""
-        outcome = await wait_or_detach(self._cancel(), within_s, UNKNOWN)
+    async def _give_up(self, reason: str, timeout_s: float = CANCEL_TIMEOUT_S) -> AttemptResult:
+        """Cancel the engine's work; report "not run" only if the engine confirms it."""
+        outcome = await wait_or_detach(self._cancel(), timeout_s, UNKNOWN)
         if outcome == NOT_RUN and self.attempt.state is AttemptState.SENT:
             self.attempt.apply(AttemptEvent.CONFIRM_CANCELLED_UNRUN)
             return self._result(f"{reason}; cancelled before it ran")
-        return self._lost(reason)
+        return self._unknown_result(reason)
 
     async def _finish(self) -> AttemptResult:
         if self.whole is not None and not self.head_passed:
@@ -212,23 +218,25 @@
                 body = orjson.loads(await response.read())
         except (*CONNECTION_ERRORS, ValueError):
             return UNKNOWN
-        return self._credible(body) if isinstance(body, dict) else UNKNOWN
+        return self._verified_outcome(body) if isinstance(body, dict) else UNKNOWN
 
-    def _credible(self, body: dict[str, object]) -> str:
-        """Believe "not_run" only of a process that was there when the request was sent.
+    def _verified_outcome(self, body: dict[str, object]) -> str:
+        """Accept "not_run" only from a process that was running when the request was sent.
 
-        A restarted engine never saw the id and says "not_run" in good faith of what its
-        predecessor ran. The uptime is by its own clock and compared with our own waiting time, so
-        no two clocks need to agree.
+        A restarted engine has no record of the id and answers "not_run" for a request that its
+        predecessor ran. Its uptime is measured by its own clock and compared with the time since
+        sending by this VM's clock, so the two clocks need not agree.
         """
         outcome, uptime_s = str(body.get("outcome", UNKNOWN)), body.get("uptime_s")
         if outcome != NOT_RUN:
             return outcome
         sent_for_s = now_unix_s() - self.sent_unix_s
-        is_witness = isinstance(uptime_s, (int, float)) and uptime_s > sent_for_s + UPTIME_MARGIN_S
-        return NOT_RUN if is_witness else UNKNOWN
+        was_running_when_sent = (
+            isinstance(uptime_s, (int, float)) and uptime_s > sent_for_s + UPTIME_MARGIN_S
+        )
+        return NOT_RUN if was_running_when_sent else UNKNOWN
 
-    def _lost(self, detail: str) -> AttemptResult:
+    def _unknown_result(self, detail: str) -> AttemptResult:
         self.attempt.apply(AttemptEvent.LOSE)
         return self._result(detail)
 
@@ -238,11 +246,11 @@
             head_passed=self.head_passed,
             detail=detail,
             server=self.server.name,
-            # An event brings one token; the last one is the end.
+            # Each event carries one token, except the last, which is the end event.
             output_tokens=max(0, self.counter.whole_events - 1),
         )
 
-    def _about_to_send(self) -> None:
+    def _mark_sent(self) -> None:
         self.sent_unix_s = now_unix_s()
         self.attempt.apply(AttemptEvent.SEND)
 
@@ -267,7 +275,10 @@
 
 
 def _streaming_body(request: GatewayRequest) -> bytes:
-    """Ask for a stream always: its silence shows a lost connection and it can be resumed."""
+    """Return a body that asks for a stream, as only a stream can be resumed.
+
+    A stream's silence also reveals a lost connection.
+    """
     if request.is_streamed:
         return request.body
     body = orjson.loads(request.body)
@@ -277,7 +288,7 @@
 
 
 def says_not_run(status: int, body: bytes) -> bool:
-    """Tell whether a backend server itself states that the request did not run."""
+    """Return whether a backend server's answer states that the request did not run."""
     if status != 503:
         return False
     try:
--- a/src/pomelobarrow/backends/events.py
+++ b/src/pomelobarrow/backends/events.py
@@ -9,26 +9,26 @@
 
 @define
 class EventCounter:
-    """Split a byte stream at event borders; only whole events are passed on."""
+    """Split a byte stream into events; only complete events are passed on."""
 
     whole_events: int = 0
     is_ended: bool = False
     _partial: bytes = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events that these bytes complete, up to the end event."""
+        """Return the events that these bytes complete, up to the end event."""
         if self.is_ended:
             return b""
         if self._partial:
             data = self._partial + data
-        border = len(data) if data.endswith(SEPARATOR) else data.rfind(SEPARATOR) + len(SEPARATOR)
-        if border < len(SEPARATOR):
+        boundary = len(data) if data.endswith(SEPARATOR) else data.rfind(SEPARATOR) + len(SEPARATOR)
+        if boundary < len(SEPARATOR):
             self._partial = data
             return b""
-        self._partial = data[border:]
-        whole = data[:border] if self._partial else data
+        self._partial = data[boundary:]
+        whole = data[:boundary] if self._partial else data
         self.whole_events += whole.count(SEPARATOR)
-        # A second end, or anything after the first, belongs to no answer.
+        # Nothing after the first end event belongs to the answer, not even a second end event.
         end = whole.find(END_EVENT)
         if end < 0:
             return whole
@@ -36,5 +36,5 @@
         return whole[: end + len(END_EVENT)]
 
     def drop_partial(self) -> None:
-        """Forget a half event; the resumed stream brings it again."""
+        """Drop an incomplete event; the resumed stream sends it again."""
         self._partial = b""
--- a/src/pomelobarrow/backends/orders.py
+++ b/src/pomelobarrow/backends/orders.py
@@ -1,4 +1,4 @@
-"""Send engines the orders that follow from the configuration."""
+"""Send orders to engines to match the published configuration."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -17,16 +17,16 @@
 
 ORDERS_PATH = "/v1/orders"
 CHECK_EVERY_S = 1.0
-# Shorter than an order's life, so that none is still on its way when a new owner starts.
+# Shorter than an order's lifetime, so that no order is in transit when a new owner starts.
 SEND_TIMEOUT_S = 2.0
-TAKEN = 200
-OLD_NUMBER = 409
+STATUS_ACCEPTED = 200
+STATUS_OUTDATED_FENCING = 409
 
 log = structlog.get_logger(__name__)
 
 
 class OrderSender(Service):
-    """Bring the engines that fall to this VM to what is published."""
+    """Send the published configuration as orders to the engines that this VM owns."""
 
     def __init__(
         self,
@@ -56,11 +56,11 @@
             if not await self._send(due, order):
                 return
         self._book.observe_accepted(due)
-        log.info("orders taken", server=due.server.name, revision=due.revision)
+        log.info("orders accepted", server=due.server.name, revision=due.revision)
 
     async def _send(self, due: FencedOrders, order: Order) -> bool:
-        # A VM that froze in the middle of sending wakes with orders that another may have
-        # replaced; past their expiry they are dropped here, whatever the engine checks.
+        # After a pause in the middle of sending, another VM may have replaced these orders.
+        # Expired ones are dropped here, regardless of what the engine checks.
         if now_unix_s() >= due.expires_unix_s:
             return False
         url = self._sessions.url(due.server.address, ORDERS_PATH)
@@ -69,15 +69,17 @@
             async with self._sessions.fresh.post(
                 url, data=orjson.dumps(_body(due, order)), timeout=timeout
             ) as response:
-                return self._take_answer(due, response.status, orjson.loads(await response.read()))
+                return self._handle_answer(
+                    due, response.status, orjson.loads(await response.read())
+                )
         except (aiohttp.ClientError, TimeoutError, OSError, ValueError) as error:
             log.warning("order not sent", server=due.server.name, error=repr(error))
             return False
 
-    def _take_answer(self, due: FencedOrders, status: int, answer: dict[str, Any]) -> bool:
-        if status == OLD_NUMBER:
+    def _handle_answer(self, due: FencedOrders, status: int, answer: dict[str, Any]) -> bool:
+        if status == STATUS_OUTDATED_FENCING:
             self._book.observe_highest_fencing(due.server.name, int(answer.get("fencing", 0)))
-        return status == TAKEN
+        return status == STATUS_ACCEPTED
 
 
 def _body(due: FencedOrders, order: Order) -> dict[str, Any]:
--- a/src/pomelobarrow/backends/plugin.py
+++ b/src/pomelobarrow/backends/plugin.py
@@ -1,4 +1,4 @@
-"""The back ends' plug-in: sessions, attempts and load reports."""
+"""Plug-in for backend servers: sessions, attempts, orders and load reports."""
 
 from collections.abc import Callable, Mapping
 from functools import partial
@@ -37,7 +37,7 @@
 
 
 class SessionsService(Service):
-    """Close the sessions at the end."""
+    """Close the HTTP sessions when the process stops."""
 
     def __init__(self, sessions: BackendSessions) -> None:
         super().__init__()
@@ -50,7 +50,7 @@
 
 @hookimpl
 def provide_parts(context: Context) -> None:
-    """Register how backend servers are reached."""
+    """Register the parts that communicate with backend servers."""
     context.provide(BackendSessions, lambda c: BackendSessions(c.settings.dial))
     context.provide(LoadTable, _table)
     context.provide(LoadPoller, _poller)
@@ -62,13 +62,13 @@
 
 @hookimpl
 def services(context: Context) -> list[PhasedService]:
-    """Poll loads; keep the list of servers current."""
+    """Return the services that poll loads and send orders; keep the list of servers current."""
     published, table = context.get(PublishedState), context.get(LoadTable)
 
     def on_applied(name: str, source: str) -> None:
         configuration = published.configuration
         table.closed_domains = configuration.evacuated_domains if configuration else frozenset()
-        table.set_servers(_sized_servers(published))
+        table.set_servers(_servers_with_capacity(published))
 
     published.listeners.append(on_applied)
     return [
@@ -79,20 +79,20 @@
 
 
 class _PauseObserver:
-    """Tell the order book that this process stood still."""
+    """Notify the order book of process pauses."""
 
     def __init__(self, context: Context) -> None:
         self._context = context
 
     @hookimpl
     def observe(self, event: object) -> None:
-        """Distrust the ownership of engines after a pause."""
+        """Invalidate the ownership of engines after a pause."""
         if isinstance(event, ProcessPauseDetected):
             self._context.get(OrderBook).observe_pause(now_unix_s())
 
 
 class AttemptRunnerPart:
-    """Hold the functions that run one attempt and that fetch the rest of one."""
+    """Provide the functions that run an attempt and that fetch the rest of an answer."""
 
     def __init__(self, run: AttemptRunner, fetch_rest: RestFetcher) -> None:
         self.run = run
@@ -110,9 +110,9 @@
         sink: AnswerSink,
         on_first_byte: Callable[[], None],
     ) -> AttemptResult:
-        server, make = placement.server, ATTEMPT_BY_IS_CHAT[request.is_chat]
+        server, attempt_class = placement.server, ATTEMPT_BY_IS_CHAT[request.is_chat]
         with traces.span("attempt", request.traceparent, server=server.name, number=number) as span:
-            result = await make(
+            result = await attempt_class(
                 sessions=sessions,
                 request=request.with_traceparent(span.traceparent),
                 server=server,
@@ -120,7 +120,7 @@
                 number=number,
                 sink=sink,
                 on_first_byte=on_first_byte,
-                on_headers=partial(_note_limit, context, server),
+                on_headers=partial(_record_limit, context, server),
             ).run()
             span.set("state", result.state.value)
             return result
@@ -128,7 +128,7 @@
     return run
 
 
-def _note_limit(context: Context, server: BackendServer, headers: Mapping[str, str]) -> None:
+def _record_limit(context: Context, server: BackendServer, headers: Mapping[str, str]) -> None:
     per_s = parse_limit(headers.get(SERVER_LIMIT_HEADER, ""))
     table = context.get(LoadTable)
     record_advertised_limit(table, server, per_s, SERVER_LIMIT_HEADER, context.observe)
@@ -141,7 +141,7 @@
         request: GatewayRequest, server: BackendServer, from_event: int, sink: AnswerSink
     ) -> AttemptResult:
         attempt = Attempt()
-        # Another VM has sent it.
+        # Another VM has sent the request.
         attempt.apply(AttemptEvent.SEND)
         with traces.span("rest", request.traceparent, server=server.name) as span:
             result = await EngineAttempt(
@@ -153,7 +153,7 @@
                 sink=sink,
                 on_first_byte=lambda: None,
                 counter=EventCounter(whole_events=from_event),
-                is_rest=True,
+                is_continuation=True,
             ).run()
             span.set("state", result.state.value)
             return result
@@ -170,7 +170,7 @@
 def _watch(context: Context) -> ServerWatch:
     return ServerWatch(
         dial=context.settings.dial,
-        is_staying=context.get(LoadTable).is_in_service,
+        is_in_service=context.get(LoadTable).is_in_service,
         observe=context.observe,
     )
 
@@ -203,8 +203,8 @@
     )
 
 
-def _sized_servers(published: PublishedState) -> list[BackendServer]:
-    """Return the listed servers with the memory that their pool states, where it does."""
+def _servers_with_capacity(published: PublishedState) -> list[BackendServer]:
+    """Return the listed servers, with the KV-cache capacity that their pool states, if any."""
     routing = published.configuration.routing if published.configuration else None
     tokens_by_pool = {p.name: p.kv_capacity_tokens for p in routing.pools} if routing else {}
     return [
@@ -218,7 +218,7 @@
 
 
 def _reporting_servers(context: Context) -> list[BackendServer]:
-    """Return this region's servers that speak the engines' or services' own protocol."""
+    """Return this region's servers that implement the protocol of engines or plain services."""
     published = context.get(PublishedState)
     pools = published.configuration.pools if published.configuration else {}
     return [
--- a/src/pomelobarrow/backends/reports.py
+++ b/src/pomelobarrow/backends/reports.py
@@ -1,4 +1,4 @@
-"""Poll the load and cache events of the backend servers that fall to this VM."""
+"""Poll the load and cache events of the backend servers assigned to this VM."""
 
 import asyncio
 import random
@@ -16,23 +16,23 @@
 from pomelobarrow.kernel.clock import now_unix_s
 
 POLL_EVERY_S = 1.0
-# A VM with more servers than these polls each less often, so that its polls and what it tells of
-# them cost the same however many servers there are.
-FEW_SERVERS = 6
+# With more servers than this, each is polled less often, so that the cost of polling and of
+# sending the reports to peers doesn't grow with the number of servers.
+MAX_SERVERS_AT_FULL_RATE = 6
 POLLS_PER_S = 2.0
 POLL_TIMEOUT_S = 1.0
-# Two VMs poll each server, so that one frozen VM leaves no server unseen.
+# Two VMs poll each server, so that every server is still polled while one VM is frozen.
 POLLERS = 2
-REPORT_GOOD_FOR_S = 5.0
+MAX_REPORT_AGE_S = 5.0
 
 
 def poll_every_s(servers: int) -> float:
-    """Return how often a VM polls each of so many servers."""
-    return POLL_EVERY_S if servers <= FEW_SERVERS else servers / POLLS_PER_S
+    """Return the poll interval of a VM that polls so many servers."""
+    return POLL_EVERY_S if servers <= MAX_SERVERS_AT_FULL_RATE else servers / POLLS_PER_S
 
 
 class LoadPoller(Service):
-    """Poll this VM's share of the region's servers; peers pass their share on."""
+    """Poll this VM's share of the region's servers; peers send the reports of theirs."""
 
     def __init__(
         self,
@@ -58,16 +58,16 @@
         self._random = random.Random()
 
     def own_reports(self) -> list[LoadReport]:
-        """Return the fresh reports that this VM has polled itself."""
-        oldest_unix_s = now_unix_s() - REPORT_GOOD_FOR_S
+        """Return the recent reports that this VM has polled itself."""
+        oldest_unix_s = now_unix_s() - MAX_REPORT_AGE_S
         return [each for each in self._reports.values() if each.measured_unix_s >= oldest_unix_s]
 
     @Service.task
     async def _poll_all(self) -> None:
         while not self.should_stop:
-            mine = self._share.of(self._servers(), self._live_vms())
-            await asyncio.gather(*(self._poll(server) for server in mine))
-            await asyncio.sleep(poll_every_s(len(mine)) * self._random.uniform(0.8, 1.2))
+            assigned = self._share.of(self._servers(), self._live_vms())
+            await asyncio.gather(*(self._poll(server) for server in assigned))
+            await asyncio.sleep(poll_every_s(len(assigned)) * self._random.uniform(0.8, 1.2))
 
     async def _poll(self, server: BackendServer) -> None:
         body = await self._get(server, "/v1/load")
@@ -78,7 +78,7 @@
         self._reports[server.name] = report
         self._table.observe_report(report, now)
         self._on_report(server.pool)
-        # A plain service would run a question about its cache as one of its own calls.
+        # A plain service would execute a request for cache events as one of its own calls.
         if self._is_engine(server):
             await self._poll_cache(server)
 
@@ -89,8 +89,8 @@
             return
         prefixes, expected = self._table.prefixes, after
         for event in body.get("events", ()):
-            # A gap may have held evictions: trusting the old view would send work to a cache
-            # that is cold, so what was known of the server is dropped.
+            # Evictions may be among the missed events. The server's index is dropped, as an
+            # outdated one would route requests to a server whose cache is cold.
             if expected and event["sequence"] > expected + 1:
                 prefixes.observe_gap(server.name)
             expected = event["sequence"]
--- a/src/pomelobarrow/backends/server_watch.py
+++ b/src/pomelobarrow/backends/server_watch.py
@@ -1,4 +1,4 @@
-"""Find out whether a backend server ended when it closed a connection without an answer."""
+"""Detect whether a backend server ended when it closed a connection without an answer."""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -8,23 +8,24 @@
 from pomelobarrow.decision.fingerprint import format_fingerprint
 from pomelobarrow.decision.work import BackendServer
 
-# A process that ends may close its connections before its listening socket.
-CHECKS_AFTER_S = (0.0, 0.2)
+# The second check is needed because an exiting process may close its connections before its
+# listening socket.
+CHECK_DELAYS_S = (0.0, 0.2)
 CONNECT_TIMEOUT_S = 0.3
-# A refused connection shows within a round trip; a request that could go on elsewhere waits no
-# longer than this for the finding.
-FINDING_WITHIN_S = 0.1
+# A refusal arrives within one round trip. A request that could be retried on another server waits
+# at most this long for the result.
+CHECK_TIMEOUT_S = 0.1
 MAX_LOGGED_FINGERPRINTS = 8
 
 
 @frozen(kw_only=True)
 class ServerEnded:
-    """Report that a backend server ended while requests of this VM were on it."""
+    """Report that a backend server ended while it processed requests of this VM."""
 
     server: str
     pool: str
     requests: int
-    # Of some of these requests, as `relay ended` shows them.
+    # Of at most MAX_LOGGED_FINGERPRINTS of these requests, as in the log line `relay ended`.
     fingerprints: tuple[str, ...]
 
 
@@ -36,33 +37,33 @@
 
 @define(kw_only=True)
 class ServerWatch:
-    """Hold the checks that are under way, one for each server.
+    """Check servers that closed a connection, with at most one check per server at a time.
 
-    A closed connection says little: a server that lives closes some, and so do devices on the way.
-    A server that ended takes no new connection either, and its address refuses it at once. A
-    server that is cut off or has lost power stays silent instead, which proves nothing.
+    A closed connection alone is no evidence, as running servers and network devices close
+    connections too. The address of a server that ended refuses new connections at once. A server
+    that is unreachable or has lost power doesn't respond at all, which proves nothing.
     """
 
     dial: Mapping[str, str] = field(factory=dict)
-    # Whether a server is listed and has not said that it leaves.
-    is_staying: Callable[[BackendServer], bool] = lambda server: True
+    # Returns whether a server is listed and has not announced that it leaves.
+    is_in_service: Callable[[BackendServer], bool] = lambda server: True
     on_ended: Callable[[BackendServer, tuple[int, ...]], None] = lambda server, fingerprints: None
     observe: Callable[[object], None] = lambda event: None
     _checks: dict[str, _Check] = field(factory=dict)
 
     async def note_closed(self, server: BackendServer, fingerprint: int) -> None:
-        """Take in that a connection with a request on it was closed; return once that is judged.
+        """Check a server that closed a connection with a request on it, and wait for the result.
 
-        A check that takes longer goes on by itself.
+        A check that takes longer than CHECK_TIMEOUT_S continues in the background.
         """
-        if not self.is_staying(server):
+        if not self.is_in_service(server):
             return
         check = self._checks.get(server.incarnation)
         if check is None:
             task = asyncio.create_task(self._run(server))
             check = self._checks[server.incarnation] = _Check(task=task)
         check.fingerprints.append(fingerprint)
-        await asyncio.wait({check.task}, timeout=FINDING_WITHIN_S)
+        await asyncio.wait({check.task}, timeout=CHECK_TIMEOUT_S)
 
     async def _run(self, server: BackendServer) -> None:
         has_ended = await self._has_ended(server)
@@ -72,9 +73,9 @@
 
     async def _has_ended(self, server: BackendServer) -> bool:
         host, _, port = self.dial.get(server.address, server.address).rpartition(":")
-        for pause_s in CHECKS_AFTER_S:
-            await asyncio.sleep(pause_s)
-            if await _is_refused(host, int(port)):
+        for delay_s in CHECK_DELAYS_S:
+            await asyncio.sleep(delay_s)
+            if await _refuses_connections(host, int(port)):
                 return True
         return False
 
@@ -90,8 +91,8 @@
         )
 
 
-async def _is_refused(host: str, port: int) -> bool:
-    """Say whether nobody listens at an address."""
+async def _refuses_connections(host: str, port: int) -> bool:
+    """Return whether an address refuses connections."""
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             _, writer = await asyncio.open_connection(host, port)
--- a/src/pomelobarrow/backends/service.py
+++ b/src/pomelobarrow/backends/service.py
@@ -21,7 +21,7 @@
 
 @define(kw_only=True)
 class ServiceAttempt:
-    """Hold what one call of a plain service has achieved so far."""
+    """Run one call of a plain service and track its progress."""
 
     sessions: BackendSessions
     request: GatewayRequest
@@ -34,7 +34,7 @@
     head_passed: bool = False
 
     async def run(self) -> AttemptResult:
-        """Call once; nothing is resent below this level."""
+        """Call the service once; retries are left to the dispatcher."""
         remaining_s = max(0.0, self.request.work.deadline_unix_s - now_unix_s())
         try:
             async with asyncio.timeout(remaining_s):
--- a/src/pomelobarrow/backends/sessions.py
+++ b/src/pomelobarrow/backends/sessions.py
@@ -11,12 +11,12 @@
 from aiohttp.tracing import TraceConfig
 
 CONNECT_TIMEOUT_S = 1.0
-# Requests a second that a server takes from all VMs together, for as long as its answers say so.
+# Requests per second that a server accepts from all VMs together, as stated by its answers.
 SERVER_LIMIT_HEADER = "X-Server-Limit"
 KEEPALIVE_S = 15.0
 MAX_CONNECTIONS = 4096
 READ_BUFFER_BYTES = 1 << 18
-# A silent connection is given up after about 3 s: a second of silence, then two probes.
+# A silent connection is closed after about 3 s: one second of silence, then two probes.
 PROBE_AFTER_S = 1
 PROBE_EVERY_S = 1
 PROBES = 2
@@ -24,25 +24,25 @@
 
 
 class BrokenConnectionError(aiohttp.ClientConnectionError):
-    """Report a connection lost after the request may have left; nothing was sent again."""
+    """Report a connection lost after the request may have been sent; it was not resent."""
 
 
 class BackendSessions:
-    """Hold a pooled session and one that opens a new connection for every request."""
+    """Provide a pooled session and one that opens a new connection for every request."""
 
     def __init__(self, dial: Mapping[str, str]) -> None:
         self._dial = dial
         self.pooled = _session(force_close=False)
-        # A pooled connection that went silent swallows the request: the symptom is a ping that
-        # may or may not have run. A new connection can't have been forgotten on its way.
+        # A pooled connection may have been dropped silently on the way. A request sent on it is
+        # lost without an error, and its outcome is unknown. A new connection can't be stale.
         self.fresh = _session(force_close=True)
 
     def url(self, address: str, path: str) -> str:
-        """Return where to reach a path at a published address."""
+        """Return the URL of a path at a published address, with configured overrides applied."""
         return f"http://{self._dial.get(address, address)}{path}"
 
     def for_request(self, repeatable: bool) -> aiohttp.ClientSession:
-        """Return the session that is safe for such a request."""
+        """Return the pooled session only for requests that may be repeated."""
         return self.pooled if repeatable else self.fresh
 
     async def close(self) -> None:
@@ -56,7 +56,7 @@
     connector = aiohttp.TCPConnector(
         limit=MAX_CONNECTIONS,
         force_close=force_close,
-        socket_factory=_watched_socket,
+        socket_factory=_probed_socket,
         **options,  # type: ignore[arg-type]
     )
     # aiohttp has no public way to choose the protocol's class.
@@ -72,24 +72,24 @@
 
 
 class ResetAwareHandler(ResponseHandler):
-    """Tell a body without a length that was cut off from one that ended.
+    """Raise an error if the connection is reset within a body without a length.
 
-    Such a body ends with its connection, and aiohttp takes a reset for that end too: the caller
-    would get half an answer that looks whole.
+    Such a body ends when its connection closes, and aiohttp treats a reset as that end too. The
+    caller would receive a truncated answer that looks complete.
     """
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Fail the body that is being read where the connection was reset."""
+        """Fail the body that is being read if the connection was reset."""
         if exc is not None and self._payload is not None:
             self._payload.set_exception(aiohttp.ClientPayloadError("the connection was reset"))
         super().connection_lost(exc)
 
 
-def _watched_socket(address: aiohttp.AddrInfoType) -> socket.socket:
-    """Return a socket that notices by itself when nothing comes back.
+def _probed_socket(address: aiohttp.AddrInfoType) -> socket.socket:
+    """Return a socket that detects a dead connection by TCP keepalive probes.
 
-    A connection that something on its way has forgotten, or whose other end lost power, stays
-    silent for good, and its request would wait until its deadline. The probes end it instead.
+    A connection stays silent forever if a device on the way dropped its state or the other end
+    lost power. Without the probes its request would wait until its deadline.
     """
     family, kind, protocol, _, _ = address
     made = socket.socket(family=family, type=kind, proto=protocol)
@@ -104,10 +104,10 @@
 async def _never_resend(
     request: aiohttp.ClientRequest, handler: ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Turn the errors on which aiohttp sends a GET, PUT or DELETE again into one on which it won't.
+    """Prevent aiohttp from resending a GET, PUT or DELETE by raising an error that it won't retry.
 
-    The first may have arrived: a PUT that may not be repeated would run twice. Whether to try
-    again is for the dispatcher to say, which knows the class and how far the attempt got.
+    The first one may have arrived, so a PUT that must not be repeated could run twice. Retries are
+    up to the dispatcher, which has the request's class and the progress of the attempt.
     """
     try:
         return await handler(request)
@@ -118,7 +118,7 @@
 
 
 def _send_tracing() -> TraceConfig:
-    """Tell the attempt that the next step hands bytes to the transport."""
+    """Return tracing that notifies the attempt just before bytes are passed to the transport."""
     tracing = TraceConfig()
 
     async def about_to_send(session: object, context: object, params: object) -> None:
--- a/src/pomelobarrow/backends/shares.py
+++ b/src/pomelobarrow/backends/shares.py
@@ -1,4 +1,4 @@
-"""Share the region's backend servers out among its live VMs."""
+"""Distribute the region's backend servers over its live VMs."""
 
 from collections.abc import Iterable
 
@@ -10,10 +10,10 @@
 
 @define(kw_only=True)
 class ServerShare:
-    """Remember which servers fall to this VM for one purpose.
+    """Cache which servers are assigned to this VM for one purpose.
 
-    Ranking some dozens of VMs for each of some hundreds of servers every second took as much
-    processor time as what was done with the servers; the ranks only change with the live VMs.
+    Ranking dozens of VMs for each of hundreds of servers every second takes as much CPU time as
+    the work on the servers itself. The ranks change only with the set of live VMs.
     """
 
     own_vm: str
@@ -23,14 +23,14 @@
     _is_own: dict[str, bool] = field(factory=dict)
 
     def of(self, servers: Iterable[BackendServer], live_vms: Iterable[str]) -> list[BackendServer]:
-        """Return the servers that fall to this VM while these VMs are live."""
+        """Return the servers that are assigned to this VM while these VMs are live."""
         live = tuple(live_vms)
         if live != self._live:
             self._live = live
             self._is_own.clear()
-        return [server for server in servers if self._falls_here(server.name)]
+        return [server for server in servers if self._is_assigned(server.name)]
 
-    def _falls_here(self, server: str) -> bool:
+    def _is_assigned(self, server: str) -> bool:
         if server not in self._is_own:
             chosen = rendezvous(f"{self.purpose}/{server}", self._live, self.vms_per_server)
             self._is_own[server] = self.own_vm in chosen
--- a/src/pomelobarrow/backends/whole_answer.py
+++ b/src/pomelobarrow/backends/whole_answer.py
@@ -1,4 +1,4 @@
-"""Put a streamed answer together for a caller that wants it whole."""
+"""Combine a streamed answer into one JSON body for a caller that did not ask for a stream."""
 
 from typing import Any
 
@@ -11,11 +11,11 @@
 
 
 class TooLargeError(ValueError):
-    """Report an answer past the bound; ask for a stream instead."""
+    """Report an answer that is too large to buffer."""
 
 
 class WholeAnswer:
-    """Collect events and build the usual whole JSON shape from them."""
+    """Collect events and build a chat completion in JSON from them."""
 
     def __init__(self, max_bytes: int) -> None:
         self._max_bytes = max_bytes
@@ -23,14 +23,14 @@
         self._parts: list[bytes] = []
 
     def feed(self, data: bytes) -> None:
-        """Take whole events."""
+        """Add complete events."""
         self._size_bytes += len(data)
         if self._size_bytes > self._max_bytes:
-            raise TooLargeError(f"answer past {self._max_bytes} bytes: ask for a stream")
+            raise TooLargeError(f"answer larger than {self._max_bytes} bytes: ask for a stream")
         self._parts.append(data)
 
     def body(self) -> bytes:
-        """Return the whole answer as JSON."""
+        """Return the answer as JSON."""
         events = b"".join(self._parts).removesuffix(END_EVENT).split(SEPARATOR)
         chunks = [orjson.loads(each.removeprefix(DATA)) for each in events if each]
         return orjson.dumps(_merge(chunks))
--- a/tests/test_server_watch.py
+++ b/tests/test_server_watch.py
@@ -13,9 +13,9 @@
     writer.close()
 
 
-async def _watched(address: str, is_staying: bool = True) -> list[object]:
+async def _watched(address: str, is_in_service: bool = True) -> list[object]:
     events: list[object] = []
-    watch = ServerWatch(is_staying=lambda server: is_staying, observe=events.append)
+    watch = ServerWatch(is_in_service=lambda server: is_in_service, observe=events.append)
     server = evolve(SERVER, address=address)
     await asyncio.gather(*(watch.note_closed(server, number) for number in (1, 2, 2)))
     await asyncio.gather(*(check.task for check in watch._checks.values()))
@@ -51,7 +51,7 @@
 
 
 async def test_server_that_leaves_as_planned_counts_as_no_crash() -> None:
-    assert await _watched(await _free_address(), is_staying=False) == []
+    assert await _watched(await _free_address(), is_in_service=False) == []
 
 
 def test_fingerprint_is_of_all_that_comes_again() -> None:
