--- a/src/pomelobarrow/callers/__init__.py
+++ b/src/pomelobarrow/callers/__init__.py
@@ -1,1 +1,1 @@
-"""The interface for callers and the HTTP server that carries it."""
+"""HTTP server and request handling for callers."""
--- a/src/pomelobarrow/callers/entries.py
+++ b/src/pomelobarrow/callers/entries.py
@@ -1,4 +1,4 @@
-"""Tell callers which entry VMs to use."""
+"""Answer which entry VMs a caller may use."""
 
 from random import Random
 from typing import Any
@@ -15,7 +15,7 @@
 from pomelobarrow.kernel.clock import now_unix_s
 
 GOOD_FOR_S = 10.0
-REQUEST_IDS = 4
+REQUEST_IDS_PER_ANSWER = 4
 MAX_ENTRIES = 16
 
 
@@ -33,32 +33,36 @@
         """Return the entries, best first, and a few request ids."""
         now = now_unix_s()
         members = self._members(now)
-        # A VM that is joining, or leaves as the last one it knows, would name nobody. A caller
-        # that keeps such an answer for as long as it is good has no one to send to; a refusal
-        # makes it ask another VM at once.
+        # A VM that is joining, or that leaves as the last live one, has no entries to return. A
+        # caller would keep an empty answer until it expires and have nowhere to send requests,
+        # whereas after a refusal it asks another VM at once.
         if not members:
             return Err(
                 refuse(
-                    ErrorKind.NOT_READY, RunStatus.NO, "no entry VM that takes work is known yet"
+                    ErrorKind.NOT_READY, RunStatus.NO, "no entry VM that accepts work is known yet"
                 )
             )
-        # Callers all take the first entry; without the shuffle one VM of the region got them all.
+        # Callers use the first entry. Without the shuffle, one VM would receive all the requests
+        # of the region.
         self.rng.shuffle(members)
-        members.sort(key=lambda member: self._order(member, home_region, round_trips_s))
+        members.sort(key=lambda member: self._sort_key(member, home_region, round_trips_s))
         answer = {
             "entries": [_entry(member) for member in members[:MAX_ENTRIES]],
             "good_until_unix_s": now + GOOD_FOR_S,
-            "request_ids": list(self.ledger.issue(account.name, REQUEST_IDS, now)),
+            "request_ids": list(self.ledger.issue(account.name, REQUEST_IDS_PER_ANSWER, now)),
         }
         return Ok(answer)
 
     def _members(self, now_unix_s: float) -> list[Member]:
-        """Return the entries to name; other regions' VMs are only heard of every few seconds."""
-        here = self.view.entries_for_callers(self.view.own_region, now_unix_s)
+        """Return the usable entries; those of this region must have been seen recently.
+
+        Updates about VMs of other regions arrive only every few seconds.
+        """
+        local = self.view.entries_for_callers(self.view.own_region, now_unix_s)
         usable = self.view.usable_entries(now_unix_s=now_unix_s)
-        return [*here, *(each for each in usable if each.region != self.view.own_region)]
+        return [*local, *(each for each in usable if each.region != self.view.own_region)]
 
-    def _order(
+    def _sort_key(
         self, member: Member, home_region: str, round_trips_s: dict[str, float]
     ) -> tuple[bool, float]:
         is_home = member.region == home_region
--- a/src/pomelobarrow/callers/gateway.py
+++ b/src/pomelobarrow/callers/gateway.py
@@ -1,4 +1,4 @@
-"""Serve callers: check a request, dispatch it, answer it."""
+"""Check, dispatch and answer callers' requests."""
 
 import itertools
 from collections.abc import Callable, Mapping
@@ -23,8 +23,8 @@
 
 
 @define(kw_only=True)
-class Checked:
-    """Hold what the headers of a request say."""
+class CheckedHeaders:
+    """Values of the request headers after validation."""
 
     account: Account
     work_class: WorkClass
@@ -35,7 +35,7 @@
 
 @define(kw_only=True)
 class CallerGateway:
-    """Hold what all callers' requests on this VM share."""
+    """Handle the requests of all callers on this VM."""
 
     vm: str
     region: str
@@ -46,7 +46,7 @@
     observe: Callable[[object], None]
     is_draining: Callable[[], bool]
     not_ready_reason: Callable[[], str | None]
-    # Returns what a class's answers have come to so far.
+    # Returns the mean output length of a class's answers so far.
     expected_output_tokens: Callable[[str], int]
     _serial: "itertools.count[int]" = field(factory=itertools.count)
 
@@ -60,8 +60,8 @@
 
     def check_headers(
         self, headers: Mapping[str, str], configuration: Configuration
-    ) -> Result[Checked, Refusal]:
-        """Check everything that doesn't need the body."""
+    ) -> Result[CheckedHeaders, Refusal]:
+        """Check the headers: account, class, deadline, home region and key."""
         account = parsing.find_account(headers, configuration)
         if isinstance(account, Err):
             return account
@@ -73,12 +73,14 @@
         deadline = parsing.read_deadline(given_deadline, found, now_unix_s())
         if isinstance(deadline, Err):
             return deadline
-        given_home = headers.get(parsing.HOME_HEADER)
-        home = parsing.read_home(given_home, account.ok_value, found, self.regions(), self.region)
+        given_region = headers.get(parsing.HOME_REGION_HEADER)
+        home = parsing.read_home_region(
+            given_region, account.ok_value, found, self.regions(), self.region
+        )
         if isinstance(home, Err):
             return home
         return self._check_key(
-            Checked(
+            CheckedHeaders(
                 account=account.ok_value,
                 work_class=found,
                 home_region=home.ok_value,
@@ -87,11 +89,11 @@
             )
         )
 
-    def _check_key(self, checked: Checked) -> Result[Checked, Refusal]:
-        """Refuse a key that the caller made up where the work may run only once.
+    def _check_key(self, checked: CheckedHeaders) -> Result[CheckedHeaders, Refusal]:
+        """Refuse a key that this system did not issue if the work must not run twice.
 
-        Two entry VMs can't agree on who owns such a key while their lists of VMs differ: both
-        would run it. Repeatable work needs no key, so there it is left aside.
+        Two entry VMs may disagree on the owner of such a key while their lists of VMs differ, and
+        both would run the request. Repeatable work needs no key, so the key is ignored there.
         """
         if checked.key is None or parsing.is_issued(checked.key):
             return Ok(checked)
@@ -111,39 +113,40 @@
         self,
         request: web.Request,
         build: Callable[
-            [web.Request, Checked, Configuration, bytes], Result[GatewayRequest, Refusal]
+            [web.Request, CheckedHeaders, Configuration, bytes], Result[GatewayRequest, Refusal]
         ],
     ) -> web.StreamResponse:
         started_unix_s = now_unix_s()
         configuration, reason = self.configuration(), self.not_ready_reason()
         if configuration is None or reason:
             refusal = refuse(ErrorKind.NOT_READY, RunStatus.NO, reason or "not ready")
-            return problem_response(_unclaimed(refusal, request.headers))
+            return problem_response(_unknown_run_if_repeat(refusal, request.headers))
         readable = check_text(request.raw_path, request.headers)
         if isinstance(readable, Err):
-            return self._refused(request, readable.err_value, started_unix_s)
+            return self._refusal_response(request, readable.err_value, started_unix_s)
         checked = self.check_headers(request.headers, configuration)
         if isinstance(checked, Err):
-            return self._refused(request, checked.err_value, started_unix_s)
-        if self._must_go_elsewhere(checked.ok_value):
-            return self._refused(request, self._stopping(), started_unix_s)
+            return self._refusal_response(request, checked.err_value, started_unix_s)
+        if self._is_refused_while_draining(checked.ok_value):
+            return self._refusal_response(request, self._draining_refusal(), started_unix_s)
         body = await read_body(request, checked.ok_value.deadline_unix_s)
         if isinstance(body, Err):
-            return self._refused(request, body.err_value, started_unix_s)
-        # The stop may have been asked for while the body came. Started now, the request would
-        # hold the stop up, or begin after everything else was found idle and be cut off.
-        if self._must_go_elsewhere(checked.ok_value):
-            return self._refused(request, self._stopping(), started_unix_s)
+            return self._refusal_response(request, body.err_value, started_unix_s)
+        # The stop may have been requested while the body was being read. Starting the request now
+        # would delay the stop, or the request would start after the check for remaining work and
+        # be aborted.
+        if self._is_refused_while_draining(checked.ok_value):
+            return self._refusal_response(request, self._draining_refusal(), started_unix_s)
         built = build(request, checked.ok_value, configuration, body.ok_value)
         if isinstance(built, Err):
-            return self._refused(request, built.err_value, started_unix_s)
+            return self._refusal_response(request, built.err_value, started_unix_s)
         return await self._answer(request, built.ok_value, checked.ok_value.account)
 
-    def _must_go_elsewhere(self, checked: Checked) -> bool:
-        """Tell whether new work is turned away; a repeat can still learn its outcome here."""
+    def _is_refused_while_draining(self, checked: CheckedHeaders) -> bool:
+        """Return whether to refuse new work; a repeat may still ask for its outcome."""
         return self.is_draining() and checked.key is None
 
-    def _stopping(self) -> Refusal:
+    def _draining_refusal(self) -> Refusal:
         return refuse(ErrorKind.DRAINING, RunStatus.NO, "this VM is stopping")
 
     async def _answer(
@@ -163,7 +166,11 @@
         return problem_response(refusal, gateway_request.work.request_id)
 
     def _build_chat(
-        self, request: web.Request, checked: Checked, configuration: Configuration, body: bytes
+        self,
+        request: web.Request,
+        checked: CheckedHeaders,
+        configuration: Configuration,
+        body: bytes,
     ) -> Result[GatewayRequest, Refusal]:
         uncompressed = check_uncompressed(request)
         if isinstance(uncompressed, Err):
@@ -178,7 +185,11 @@
         return Ok(self._request(request, checked, work, body, chat.ok_value.is_streamed, True))
 
     def _build_service(
-        self, request: web.Request, checked: Checked, configuration: Configuration, body: bytes
+        self,
+        request: web.Request,
+        checked: CheckedHeaders,
+        configuration: Configuration,
+        body: bytes,
     ) -> Result[GatewayRequest, Refusal]:
         name = request.match_info["name"]
         service = parsing.check_service(name, checked.work_class, configuration)
@@ -186,7 +197,7 @@
             return service
         return Ok(self._request(request, checked, self._work(checked, None), body, False, False))
 
-    def _work(self, checked: Checked, chat: parsing.ChatBody | None) -> Work:
+    def _work(self, checked: CheckedHeaders, chat: parsing.ChatBody | None) -> Work:
         return parsing.build_work(
             request_id=checked.key or f"{self.vm}-{self.incarnation:x}-{next(self._serial):x}",
             account=checked.account,
@@ -201,7 +212,7 @@
     def _request(
         self,
         request: web.Request,
-        checked: Checked,
+        checked: CheckedHeaders,
         work: Work,
         body: bytes,
         is_streamed: bool,
@@ -220,10 +231,10 @@
             traceparent=read_traceparent(request.headers),
         )
 
-    def _refused(
+    def _refusal_response(
         self, request: web.Request, refusal: Refusal, started_unix_s: float
     ) -> web.Response:
-        refusal = _unclaimed(refusal, request.headers)
+        refusal = _unknown_run_if_repeat(refusal, request.headers)
         self.observe(
             RequestEnded(
                 request_id="",
@@ -259,11 +270,11 @@
         )
 
 
-def _unclaimed(refusal: Refusal, headers: Mapping[str, str]) -> Refusal:
-    """Say "unknown" where the request repeats an issued id and the ledger was not asked yet.
+def _unknown_run_if_repeat(refusal: Refusal, headers: Mapping[str, str]) -> Refusal:
+    """Set run to "unknown" if the request repeats an issued id that was not looked up yet.
 
-    The refused repeat never ran, but the first one may have. Told "not run", its caller would send
-    it anew.
+    The refused repeat did not run, but the first request may have. On "not run" the caller would
+    send it again.
     """
     if parsing.is_issued(headers.get(parsing.KEY_HEADER, "")):
         return evolve(refusal, run=RunStatus.UNKNOWN)
@@ -271,9 +282,9 @@
 
 
 def _service_path(request: web.Request) -> str:
-    """Return the path below the service's name, as the caller spelled it.
+    """Return the raw path below the service's name, with its query.
 
-    The request line may hold a whole URL, and the name percent-encoded letters.
+    The request line may contain an absolute URL, and the name percent-encoded characters.
     """
     url = request.rel_url
     rest = url.raw_path.split("/", 3)[3:]
--- a/src/pomelobarrow/callers/headers.py
+++ b/src/pomelobarrow/callers/headers.py
@@ -1,4 +1,4 @@
-"""Check a caller's headers and choose those that go on to a backend server."""
+"""Check a caller's headers and select those that are forwarded to a backend server."""
 
 import re
 from collections.abc import Mapping
@@ -11,9 +11,9 @@
 
 TRACEPARENT_HEADER = "traceparent"
 CONNECTION_HEADER = "Connection"
-# A plain service gets the caller's headers, but never what identifies the caller to the gateway,
-# nor what the gateway itself says of the request: a caller's own X-Request-Id would stand before
-# the gateway's, and the service would take two requests for one.
+# Not forwarded to a plain service: the caller's credentials and headers that the gateway sets
+# itself. A caller's own X-Request-Id would precede the gateway's, and the service could take two
+# requests for one.
 PRIVATE_HEADERS = frozenset(
     {
         "authorization",
@@ -32,25 +32,25 @@
     }
 )
 PRIVATE_PREFIX = "pomelobarrow-"
-# Bytes that aren't UTF-8 arrive as lone surrogates. Such a value can't be written again, and a
-# control character in it would end the header early on the way to the backend server.
+# Bytes that aren't UTF-8 are decoded as lone surrogates, which can't be encoded again. A control
+# character would end the header early on the way to the backend server.
 _UNSAFE_PATTERN = re.compile("[\x00-\x08\x0a-\x1f\x7f\ud800-\udfff]")
 _TRACEPARENT_PATTERN = re.compile(r"(?!ff)[0-9a-f]{2}-[0-9a-f]{32}-[0-9a-f]{16}-[0-9a-f]{2}")
 
 
 def check_text(path: str, headers: Mapping[str, str]) -> Result[None, Refusal]:
-    """Refuse a path or header that can't be passed on as it came."""
+    """Refuse a path or header that can't be forwarded unchanged."""
     if not path.isascii():
-        return _malformed("the path holds bytes outside ASCII", "percent-encode the path")
+        return _malformed("the path contains non-ASCII bytes", "percent-encode the path")
     for name, value in headers.items():
         if _UNSAFE_PATTERN.search(value) or _UNSAFE_PATTERN.search(name):
             remedy = "send header values as UTF-8 without control characters"
-            return _malformed(f"header {name[:64]!r}: bad characters", remedy)
+            return _malformed(f"header {name[:64]!r}: invalid characters", remedy)
     return Ok(None)
 
 
 def public_headers(headers: Mapping[str, str]) -> Headers:
-    """Return the headers that go on to a plain service."""
+    """Return the headers that are forwarded to a plain service."""
     named = {each.strip().lower() for each in headers.get(CONNECTION_HEADER, "").split(",")}
     return tuple(
         (name, value) for name, value in headers.items() if _is_public(name.lower(), named)
@@ -58,7 +58,7 @@
 
 
 def read_traceparent(headers: Mapping[str, str]) -> str:
-    """Return the caller's trace, or nothing where it isn't one."""
+    """Return the caller's traceparent header, or an empty string if it is invalid."""
     given = headers.get(TRACEPARENT_HEADER, "")
     return given if _TRACEPARENT_PATTERN.fullmatch(given) else ""
 
--- a/src/pomelobarrow/callers/operations.py
+++ b/src/pomelobarrow/callers/operations.py
@@ -1,4 +1,4 @@
-"""Answer operators: health, readiness, status, explanation."""
+"""Answer operators' requests: health, readiness, status and explanation."""
 
 from typing import Any
 
@@ -22,14 +22,14 @@
 
 @define(kw_only=True)
 class Operations:
-    """Hold what the operators' answers are made from."""
+    """Handle operators' requests."""
 
     context: Context
     published: PublishedState
     dispatcher: Dispatcher
 
     def not_ready_reason(self) -> str | None:
-        """Return the first reason why this VM can't serve."""
+        """Return the first reason why this VM isn't ready, or None."""
         if self.context.is_draining:
             return "draining"
         reasons = self.context.hooks.hook.not_ready_reason(context=self.context)
@@ -71,7 +71,8 @@
             return problem_response(work_class.err_value)
         account = configuration.accounts.get(request.query.get("account", ""))
         if account is None:
-            # Callers can reach this too: the names of the accounts are the customers' names.
+            # The known accounts aren't listed, because callers can reach this path too and the
+            # names identify other client accounts.
             remedy = "use the name of a published account"
             return problem_response(
                 refuse(ErrorKind.UNKNOWN_ACCOUNT, RunStatus.NO, "no such account", remedy=remedy)
@@ -81,7 +82,7 @@
     def _explanation(
         self, class_name: str, account: Account, configuration: Configuration
     ) -> dict[str, Any]:
-        work = self._sample(class_name, account, configuration)
+        work = self._sample_work(class_name, account, configuration)
         choice = self.dispatcher.choose(work, set())
         answer: dict[str, Any] = {
             "class": class_name,
@@ -94,10 +95,10 @@
             "expected_wait_s": self.dispatcher.local.expected_wait_s(work),
         }
         if choice.region == self.dispatcher.own_region:
-            answer["backend_server"] = self._server(work)
+            answer["backend_server"] = self._server_choice(work)
         return answer
 
-    def _server(self, work: Work) -> dict[str, Any] | str:
+    def _server_choice(self, work: Work) -> dict[str, Any] | str:
         local = self.dispatcher.local
         placement = choose_server(local.table, work, now_unix_s(), local.rng, frozenset())
         if placement is None:
@@ -108,14 +109,14 @@
             "expected_wait_s": placement.expected_wait_s,
         }
 
-    def _sample(self, class_name: str, account: Account, configuration: Configuration) -> Work:
+    def _sample_work(self, class_name: str, account: Account, configuration: Configuration) -> Work:
         work_class, now = configuration.classes[class_name], now_unix_s()
         return parsing.build_work(
             request_id="explain",
             account=account,
             work_class=work_class,
             home_region=account.home_region or self.dispatcher.own_region,
-            deadline_unix_s=now + work_class.finish_target_s * parsing.DEFAULT_DEADLINE_TARGETS,
+            deadline_unix_s=now + work_class.finish_target_s * parsing.DEFAULT_DEADLINE_FACTOR,
             now_unix_s=now,
             expected_output_tokens=parsing.DEFAULT_OUTPUT_TOKENS,
         )
--- a/src/pomelobarrow/callers/parsing.py
+++ b/src/pomelobarrow/callers/parsing.py
@@ -1,4 +1,4 @@
-"""Check a caller's request and turn it into work."""
+"""Validate a caller's request and convert it to work."""
 
 import hashlib
 import math
@@ -24,21 +24,21 @@
 
 CLASS_HEADER = "Pomelobarrow-Class"
 DEADLINE_HEADER = "Pomelobarrow-Deadline"
-HOME_HEADER = "Pomelobarrow-Home-Region"
+HOME_REGION_HEADER = "Pomelobarrow-Home-Region"
 KEY_HEADER = "Idempotency-Key"
 BEARER = "Bearer "
-# A caller that names no deadline gets this many times the class's target for the end.
-DEFAULT_DEADLINE_TARGETS = 4.0
+# The default deadline of a request is this many times its class's finish target.
+DEFAULT_DEADLINE_FACTOR = 4.0
 MAX_DEADLINE_AHEAD_S = 7 * 86_400.0
 DEFAULT_OUTPUT_TOKENS = 256
-# Each message costs a few microseconds of the only thread: the most that a body of the largest
-# size can hold would stop all other callers' streams for most of a second.
+# Each message takes a few microseconds on the only thread. Without a limit, a body of the maximum
+# size could block all other callers' streams for most of a second.
 MAX_MESSAGES = 4096
 
 
 @frozen(kw_only=True)
 class ChatBody:
-    """Hold what the gateway needs to know of a chat request's body."""
+    """Fields of a chat request's body that the gateway uses."""
 
     model: str
     is_streamed: bool
@@ -47,19 +47,19 @@
     prefix_hashes: tuple[int, ...]
 
 
-def _bad(kind: ErrorKind, detail: str, remedy: str) -> Err[Refusal]:
+def _refusal(kind: ErrorKind, detail: str, remedy: str) -> Err[Refusal]:
     return Err(refuse(kind, RunStatus.NO, detail, remedy=remedy))
 
 
 def find_account(
     headers: Mapping[str, str], configuration: Configuration
 ) -> Result[Account, Refusal]:
-    """Return the account whose bearer token this is; only hashes are compared."""
+    """Return the account of the bearer token; only hashes are compared."""
     given = headers.get("Authorization", "")
     digest = hashlib.sha256(given.removeprefix(BEARER).encode("utf-8", "replace")).hexdigest()
     account = configuration.account_by_token_sha256.get(digest)
     if account is None or not given.startswith(BEARER):
-        return _bad(
+        return _refusal(
             ErrorKind.UNKNOWN_ACCOUNT,
             "the bearer token belongs to no account",
             "send Authorization: Bearer with a token of a published account",
@@ -68,26 +68,28 @@
 
 
 def find_class(name: str | None, configuration: Configuration) -> Result[WorkClass, Refusal]:
-    """Return the class of work that a caller named."""
+    """Return the class of work with the requested name."""
     work_class = configuration.classes.get(name or "")
     if work_class is None:
         known = ", ".join(sorted(configuration.classes))
-        return _bad(ErrorKind.UNKNOWN_CLASS, f"class {(name or '')[:64]!r}", f"use one of: {known}")
+        return _refusal(
+            ErrorKind.UNKNOWN_CLASS, f"unknown class {(name or '')[:64]!r}", f"use one of: {known}"
+        )
     return Ok(work_class)
 
 
 def read_deadline(
     given: str | None, work_class: WorkClass, now_unix_s: float
 ) -> Result[float, Refusal]:
-    """Return the deadline as Unix seconds, from the header or from the class's target."""
+    """Return the deadline from the header, or the default of the class."""
     if given is None:
-        return Ok(now_unix_s + work_class.finish_target_s * DEFAULT_DEADLINE_TARGETS)
+        return Ok(now_unix_s + work_class.finish_target_s * DEFAULT_DEADLINE_FACTOR)
     try:
         deadline_unix_s = float(given)
     except ValueError:
         deadline_unix_s = math.nan
     if not now_unix_s < deadline_unix_s <= now_unix_s + MAX_DEADLINE_AHEAD_S:
-        return _bad(
+        return _refusal(
             ErrorKind.BAD_DEADLINE,
             f"{DEADLINE_HEADER}: {given[:64]!r}",
             "give Unix seconds in the future, at most seven days ahead",
@@ -95,50 +97,54 @@
     return Ok(deadline_unix_s)
 
 
-def read_home(
-    given: str | None, account: Account, work_class: WorkClass, regions: Collection[str], own: str
+def read_home_region(
+    given: str | None,
+    account: Account,
+    work_class: WorkClass,
+    regions: Collection[str],
+    own_region: str,
 ) -> Result[str, Refusal]:
-    """Return the region that a request belongs to."""
+    """Return the home region of a request."""
     if given is not None and given not in regions:
-        return _bad(
+        return _refusal(
             ErrorKind.BAD_HOME_REGION,
-            f"{HOME_HEADER}: {given[:64]!r}",
+            f"{HOME_REGION_HEADER}: {given[:64]!r}",
             "name a region of this fleet",
         )
     if not work_class.home_bound:
-        return Ok(given or account.home_region or own)
+        return Ok(given or account.home_region or own_region)
     if given and account.home_region and given != account.home_region:
-        return _bad(
+        return _refusal(
             ErrorKind.BAD_HOME_REGION,
-            f"{HOME_HEADER} is {given!r}, the account's home is {account.home_region!r}",
-            "leave the header out or send with an account of that region",
+            f"{HOME_REGION_HEADER} is {given!r}, the account's home is {account.home_region!r}",
+            "omit the header or use an account of that region",
         )
     home = given or account.home_region
     if home is None:
-        return _bad(
+        return _refusal(
             ErrorKind.BAD_HOME_REGION,
-            f"class {work_class.name!r} is home-bound and no home is known",
-            f"send {HOME_HEADER} or have the account's home_region published",
+            f"class {work_class.name!r} is home-bound and no home region is known",
+            f"send {HOME_REGION_HEADER} or have the account's home_region published",
         )
     return Ok(home)
 
 
 def is_issued(key: str) -> bool:
-    """Tell whether a key has the form of an id that an entry VM issues."""
+    """Return whether a key has the form of an id that entry VMs issue."""
     return isinstance(parse_issuer(key), Ok)
 
 
 def read_chat_body(body: bytes) -> Result[ChatBody, Refusal]:
-    """Check the usual JSON shape; nothing of the body is kept in the refusal."""
+    """Validate the body of a chat request; refusals never quote it."""
     try:
         parsed = orjson.loads(body)
     except ValueError:
-        return _bad(
+        return _refusal(
             ErrorKind.MALFORMED_BODY, "the body is not JSON", "send one JSON object as UTF-8"
         )
     fault = _shape_fault(parsed)
     if fault:
-        return _bad(ErrorKind.MALFORMED_BODY, fault, "send the usual chat completion shape")
+        return _refusal(ErrorKind.MALFORMED_BODY, fault, "send a chat completion request")
     messages = parsed["messages"]
     size_bytes = sum(len(each["content"].encode()) for each in messages)
     return Ok(
@@ -184,11 +190,11 @@
 def check_model(
     name: str, work_class: WorkClass, configuration: Configuration
 ) -> Result[str, Refusal]:
-    """Return the model's name if the class's pool serves it."""
+    """Return the name of the model if the class's pool serves it."""
     model = configuration.models.get(name)
     if model is None or model.pool != work_class.pool:
         served = sorted(m.name for m in configuration.models.values() if m.pool == work_class.pool)
-        return _bad(
+        return _refusal(
             ErrorKind.UNKNOWN_MODEL,
             f"model {name[:64]!r} is not served for class {work_class.name!r}",
             f"use one of: {', '.join(served)}",
@@ -199,13 +205,13 @@
 def check_service(
     name: str, work_class: WorkClass, configuration: Configuration
 ) -> Result[str, Refusal]:
-    """Return the service's name if the class's pool offers it."""
+    """Return the name of the service if the class's pool offers it."""
     pool = configuration.pools.get(work_class.pool)
     if pool is None or pool.kind is not PoolKind.SERVICE or pool.service != name:
-        return _bad(
+        return _refusal(
             ErrorKind.UNKNOWN_SERVICE,
             f"service {name[:64]!r} is not offered to class {work_class.name!r}",
-            "use the service and class that were published together",
+            "use the class that is published for this service",
         )
     return Ok(name)
 
@@ -221,7 +227,7 @@
     expected_output_tokens: int,
     chat: ChatBody | None = None,
 ) -> Work:
-    """Return the work that a checked request stands for."""
+    """Return the work for a validated request."""
     output_tokens = expected_output_tokens
     if chat is not None and chat.max_tokens is not None:
         output_tokens = min(output_tokens, chat.max_tokens)
--- a/src/pomelobarrow/callers/plugin.py
+++ b/src/pomelobarrow/callers/plugin.py
@@ -1,4 +1,4 @@
-"""The callers' plug-in: the HTTP server and its routes."""
+"""Plug-in for callers: the HTTP server and its routes."""
 
 from collections.abc import Awaitable
 
@@ -26,7 +26,7 @@
 
 @hookimpl
 def provide_parts(context: Context) -> None:
-    """Register what answers callers."""
+    """Register the parts that handle callers' requests."""
     context.provide(Operations, _operations)
     context.provide(CallerGateway, _gateway)
     context.provide(EntryDirectory, _directory)
@@ -35,19 +35,19 @@
 
 @hookimpl
 def services(context: Context) -> list[PhasedService]:
-    """Serve callers last, once everything else runs."""
+    """Return the server for callers, which starts last."""
     return [PhasedService(StartPhase.CALLERS, context.get(CallerServer))]
 
 
 @hookimpl
 def close(context: Context) -> Awaitable[None]:
-    """Close the callers' sockets once every answer has left."""
+    """Close the callers' sockets once every answer is sent."""
     return context.get(CallerServer).close()
 
 
 @hookimpl
 def routes(context: Context) -> list[web.RouteDef]:
-    """Return the caller's and the operator's interface."""
+    """Return the routes for callers and operators."""
     gateway, operations = context.get(CallerGateway), context.get(Operations)
     return [
         web.get("/v1/entries", _entries_handler(context)),
@@ -78,11 +78,11 @@
         if isinstance(work_class, Err):
             return problem_response(work_class.err_value)
         home = account.ok_value.home_region or gateway.region
-        trips = {
+        round_trips_s = {
             region: load.round_trip_s
             for region, load in loads.for_pool(work_class.ok_value.pool).items()
         }
-        answer = directory.answer(account.ok_value, home, trips)
+        answer = directory.answer(account.ok_value, home, round_trips_s)
         if isinstance(answer, Err):
             return problem_response(answer.err_value)
         return json_response(answer.ok_value)
--- a/src/pomelobarrow/callers/problems.py
+++ b/src/pomelobarrow/callers/problems.py
@@ -1,4 +1,4 @@
-"""Answer refusals as problem documents."""
+"""Convert refusals to problem documents."""
 
 import math
 from typing import Any
@@ -31,7 +31,7 @@
 
 
 def problem_response(refusal: Refusal, request_id: str = "") -> web.Response:
-    """Return the whole answer to a refused request."""
+    """Return the HTTP response to a refused request."""
     headers = {}
     if refusal.retry_at_unix_s is not None:
         headers["Retry-After"] = str(retry_after_s(refusal.retry_at_unix_s))
@@ -44,10 +44,10 @@
 
 
 def problem_event(refusal: Refusal, request_id: str) -> bytes:
-    """Return the event that ends a stream that broke off."""
+    """Return the event that ends an interrupted stream."""
     return b"event: error\ndata: " + orjson.dumps(problem_body(refusal, request_id)) + b"\n\n"
 
 
 def retry_after_s(retry_at_unix_s: float) -> int:
-    """Return whole seconds for the Retry-After header, at least one."""
+    """Return the value of the Retry-After header, at least one second."""
     return max(1, math.ceil(retry_at_unix_s - now_unix_s()))
--- a/src/pomelobarrow/callers/server.py
+++ b/src/pomelobarrow/callers/server.py
@@ -1,4 +1,4 @@
-"""Listen for callers, and stop without cutting an answer off."""
+"""HTTP server for callers that finishes all answers before it stops."""
 
 import asyncio
 from collections.abc import Iterable
@@ -12,17 +12,17 @@
 
 MAX_HEADER_BYTES = 16 << 10
 KEEPALIVE_S = 75.0
-AT_ONCE_S = 1.0
-LAST_REFUSALS_S = 0.25
+SHUTDOWN_TIMEOUT_S = 1.0
+FINAL_REQUESTS_GRACE_S = 0.25
 FLUSH_POLL_S = 0.02
-# A reader that takes nothing for so long has left without a word.
-READER_LOST_AFTER_S = 30.0
+# A caller that reads nothing for this long is considered disconnected.
+READ_STALL_TIMEOUT_S = 30.0
 
 log = structlog.get_logger(__name__)
 
 
 class CallerServer(Service):
-    """Listen for callers."""
+    """Run the HTTP server for callers."""
 
     def __init__(self, context: Context) -> None:
         super().__init__()
@@ -36,16 +36,16 @@
         app.on_response_prepare.append(self._close_when_draining)
         for routes in self._context.hooks.hook.routes(context=self._context):
             app.add_routes(routes)
-        # Without handler_cancellation an answer goes on for a caller that has left, and its
-        # engine's slot stays taken.
+        # Without handler_cancellation, the answer to a disconnected caller continues and occupies
+        # an engine's slot.
         self._runner = web.AppRunner(
             app,
             handler_cancellation=True,
             access_log=None,
             keepalive_timeout=KEEPALIVE_S,
-            shutdown_timeout=AT_ONCE_S,
+            shutdown_timeout=SHUTDOWN_TIMEOUT_S,
             max_field_size=MAX_HEADER_BYTES,
-            # Bodies go on as they came; unpacked here, a small one could fill the memory.
+            # Bodies are forwarded unchanged. Decompressed here, a small one could fill the memory.
             auto_decompress=False,
         )
         await self._runner.setup()
@@ -53,32 +53,32 @@
         await web.TCPSite(self._runner, host, int(port), reuse_address=True).start()
 
     async def close(self) -> None:
-        """Take no more connections, and return once every answer has left this process."""
+        """Stop accepting connections and return once every answer is sent."""
         runner = self._runner
         if runner is None or runner.server is None:
             return
         for site in list(runner.sites):
             await site.stop()
-        # A connection accepted just before has its request still on the way; closed now, its
-        # caller would see a reset instead of the refusal.
-        await asyncio.sleep(LAST_REFUSALS_S)
+        # The request of a connection that was just accepted is still in transit. If the connection
+        # were closed now, the caller would see a reset instead of the refusal.
+        await asyncio.sleep(FINAL_REQUESTS_GRACE_S)
         transports = [each.transport for each in runner.server.connections]
         runner.server.pre_shutdown()
         await runner.server.shutdown(None)
         await flush([each for each in transports if each is not None])
 
     async def on_stop(self) -> None:
-        """Close whatever is still open."""
+        """Close the remaining connections."""
         if self._runner is not None:
             await self._runner.cleanup()
 
     async def _close_when_draining(
         self, request: web.Request, response: web.StreamResponse
     ) -> None:
-        """End kept connections with their next answer.
+        """Close keep-alive connections with their next answer while draining.
 
-        A request that crosses the closing of an idle connection leaves its caller unable to tell
-        whether it ran. The callers that still send are told in time to open a new one elsewhere.
+        If an idle connection is closed while a request is in transit, the caller can't tell
+        whether the request ran. The Connection header makes active callers reconnect in time.
         """
         if self._context.is_draining:
             response.headers["Connection"] = "close"
@@ -86,18 +86,18 @@
 
 
 async def flush(transports: Iterable[asyncio.Transport]) -> None:
-    """Return once the transports are empty, or their readers have stopped reading.
+    """Wait until the transports' write buffers are empty or nobody reads from them any more.
 
-    An answer counts as given once it is in the transport's buffer. An exit drops that buffer, and
-    a caller that reads slowly would miss the answer's end.
+    An answer counts as sent once it is in the transport's buffer. Exiting the process drops that
+    buffer, and a caller that reads slowly would miss the end of the answer.
     """
     unsent_bytes = _unsent_bytes(transports)
-    moved_unix_s = now_unix_s()
-    while unsent_bytes and now_unix_s() < moved_unix_s + READER_LOST_AFTER_S:
+    progress_unix_s = now_unix_s()
+    while unsent_bytes and now_unix_s() < progress_unix_s + READ_STALL_TIMEOUT_S:
         await asyncio.sleep(FLUSH_POLL_S)
-        left_bytes = _unsent_bytes(transports)
-        if left_bytes < unsent_bytes:
-            unsent_bytes, moved_unix_s = left_bytes, now_unix_s()
+        remaining_bytes = _unsent_bytes(transports)
+        if remaining_bytes < unsent_bytes:
+            unsent_bytes, progress_unix_s = remaining_bytes, now_unix_s()
     if unsent_bytes:
         log.warning("answers not read to their end", unsent_bytes=unsent_bytes)
 
--- a/src/pomelobarrow/callers/sinks.py
+++ b/src/pomelobarrow/callers/sinks.py
@@ -20,16 +20,16 @@
 class LateHeadResponse(web.StreamResponse):
     """Send the headers together with the first bytes of the body.
 
-    An answer's head is passed on only when its first bytes are there, so nothing comes later; a
-    write of its own for the headers cost a fourteenth of a request's CPU. Where a later aiohttp
-    has no such switch, the headers go out at once again.
+    An answer's head is passed on only once its first bytes are available, so nothing is delayed.
+    A separate write for the headers takes a fourteenth of a request's CPU time. With an aiohttp
+    that lacks this attribute, the headers are sent separately again.
     """
 
     _send_headers_immediately = False
 
 
 class HttpSink:
-    """Pass an answer on to one caller and note its timing."""
+    """Write an answer to one caller and record its timing."""
 
     def __init__(self, request: web.Request, request_id: str) -> None:
         self._request = request
@@ -57,10 +57,10 @@
     async def chunk(self, data: bytes) -> None:
         """Send the next bytes."""
         assert self.response is not None
-        self._note_time()
+        self._record_timing()
         if data.endswith(END_EVENT):
-            # Held until the answer is known to be whole; it then leaves together with the end
-            # of the body, which saves a write a request.
+            # Held back until the answer is known to be complete. Sending it together with the end
+            # of the body saves one write per request.
             self._end_event = data
             return
         try:
@@ -69,7 +69,7 @@
             raise CallerGoneError("the caller closed its connection") from error
 
     async def end(self) -> None:
-        """Close the answer as whole."""
+        """Finish a complete answer."""
         assert self.response is not None
         try:
             await self.response.write_eof(self._end_event)
@@ -77,10 +77,10 @@
             raise CallerGoneError("the caller closed its connection") from error
 
     async def abort(self, refusal: Refusal) -> None:
-        """Say that the answer stops short, then close the connection without an end mark.
+        """Send an error event, then close the connection without the end marker.
 
-        A closed connection alone reads as a whole answer to a lenient client, and an error event
-        alone is lost on one that reads whole answers; together neither can mistake it.
+        A lenient client treats a closed connection alone as a complete answer, and a client that
+        collects the whole answer misses an error event. Together they are unambiguous to both.
         """
         assert self.response is not None
         if self.response.headers.get("Content-Type", "").startswith(SERVER_SENT_EVENTS):
@@ -88,7 +88,7 @@
         if self._request.transport is not None:
             self._request.transport.close()
 
-    def _note_time(self) -> None:
+    def _record_timing(self) -> None:
         now = now_unix_s()
         if self.first_byte_unix_s is None:
             self.first_byte_unix_s = now
