--- a/src/pomelobarrow/backends/engine.py
+++ b/src/pomelobarrow/backends/engine.py
@@ -26,9 +26,9 @@
 
 CHAT_PATH = "/v1/chat/completions"
 PRIORITY_BY_RANK = {Rank.PAYING: "0", Rank.TRIAL: "1"}
-# A connection whose state was dropped on the way delivers neither bytes nor an error. Engines
-# step every few milliseconds, so a silence this long means a lost connection or a failed engine,
-# never a slow token.
+# A connection whose state a network device has dropped delivers neither bytes nor an error.
+# Engines step every few milliseconds, so a silence this long means a lost connection or a failed
+# engine, never a slow token.
 NEXT_BYTE_TIMEOUT_S = 5.0
 CANCEL_TIMEOUT_S = 1.0
 # Past the deadline, the caller waits at most this long for the engine to confirm a cancellation.
--- a/src/pomelobarrow/backends/sessions.py
+++ b/src/pomelobarrow/backends/sessions.py
@@ -33,7 +33,7 @@
     def __init__(self, dial: Mapping[str, str]) -> None:
         self._dial = dial
         self.pooled = _session(force_close=False)
-        # A pooled connection may have been dropped silently on the way. A request sent on it is
+        # A network device may have dropped a pooled connection silently. A request sent on it is
         # lost without an error, and its outcome is unknown. A new connection can't be stale.
         self.fresh = _session(force_close=True)
 
@@ -88,8 +88,8 @@
 def _probed_socket(address: aiohttp.AddrInfoType) -> socket.socket:
     """Return a socket that detects a dead connection by TCP keepalive probes.
 
-    A connection stays silent forever if a device on the way dropped its state or the other end
-    lost power. Without the probes its request would wait until its deadline.
+    A connection stays silent forever if a network device drops its state or the other end loses
+    power. Without the probes its request would wait until its deadline.
     """
     family, kind, protocol, _, _ = address
     made = socket.socket(family=family, type=kind, proto=protocol)
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -1,4 +1,4 @@
-"""Send requests as callers do and tell what came back."""
+"""Send requests as callers do and record the replies."""
 
 import asyncio
 import itertools
@@ -20,7 +20,7 @@
 
 @define(kw_only=True)
 class Reply:
-    """Hold what a caller got: a whole answer, a problem, or neither."""
+    """Reply to a caller: a complete answer, a problem document, or neither."""
 
     marker: str
     class_name: str = ""
@@ -36,17 +36,17 @@
 
     @property
     def is_answered(self) -> bool:
-        """Tell whether this is the whole right answer."""
+        """Return whether the answer is complete and correct."""
         return self.status == 200 and self.is_whole and self.text == self.expected
 
     @property
     def run(self) -> str:
-        """Return what the refusal says of the run, if there is one."""
+        """Return the run status that the refusal states, if there is one."""
         return str(self.problem.get("run", ""))
 
     @property
     def is_incomplete(self) -> bool:
-        """Tell whether the caller got neither a whole answer nor a refusal."""
+        """Return whether the caller got neither a complete answer nor a refusal."""
         return not self.is_answered and not self.problem
 
 
@@ -87,7 +87,7 @@
             elif response.content_type == "text/event-stream":
                 await _read_events(response, reply, on_first_token)
             else:
-                _take_whole(await response.json(content_type=None), reply)
+                _read_whole(await response.json(content_type=None), reply)
     except (aiohttp.ClientError, OSError, ValueError, TimeoutError) as error:
         reply.error = repr(error)
     reply.ended_unix_s = time.time()
@@ -104,7 +104,7 @@
     marker: str = "",
     **headers: str,
 ) -> Reply:
-    """Post one call of a plain service; its answer names the marker that it was sent."""
+    """Post one call to a plain service, which echoes the marker in its answer."""
     reply = Reply(marker=marker or f"marker-{next(_serials)}", class_name=class_name)
     reply.expected = reply.marker
     sent = fleet.headers(account, class_name, X_Marker=reply.marker, **headers)
@@ -163,6 +163,6 @@
             reply.text += payload["choices"][0]["delta"].get("content", "")
 
 
-def _take_whole(answer: dict[str, Any], reply: Reply) -> None:
+def _read_whole(answer: dict[str, Any], reply: Reply) -> None:
     reply.text = answer["choices"][0]["message"]["content"]
     reply.is_whole = True
--- a/tests/run_checks.py
+++ b/tests/run_checks.py
@@ -1,4 +1,4 @@
-"""Check what callers were told against what the backend servers ran."""
+"""Compare the replies to callers with the runs that the backend servers logged."""
 
 import asyncio
 import time
@@ -14,13 +14,13 @@
 
 from harness.fleet import Fleet
 
-PATIENCE = aiohttp.ClientTimeout(total=8.0)
+CALLER_TIMEOUT = aiohttp.ClientTimeout(total=8.0)
 PROMPT = "which grade, which premium? " * 160
 
 
 @frozen(kw_only=True)
 class RequestSpec:
-    """Word one kind of request; the deadline is set when it is sent."""
+    """Describe one kind of request; the deadline is set when it is sent."""
 
     class_name: str
     model: str = ""
@@ -39,7 +39,7 @@
         key: str = "",
         marker: str = "",
     ) -> Reply:
-        """Send it to an entry VM through the proxy; a repeat gives its key and marker again."""
+        """Send the request through the proxy; a repeat uses the same key and marker."""
         address = fleet.entries[vm].advertised_caller
         headers = {"Pomelobarrow-Deadline": str(time.time() + self.deadline_s)}
         if key:
@@ -64,9 +64,9 @@
 
 @asynccontextmanager
 async def caller_session(
-    timeout: aiohttp.ClientTimeout = PATIENCE,
+    timeout: aiohttp.ClientTimeout = CALLER_TIMEOUT,
 ) -> AsyncIterator[aiohttp.ClientSession]:
-    """Yield a session that opens a connection for each request and gives up at last."""
+    """Yield a session with a total timeout that opens a connection for each request."""
     connector = aiohttp.TCPConnector(limit=0, force_close=True)
     async with aiohttp.ClientSession(connector=connector, timeout=timeout) as session:
         yield session
@@ -74,46 +74,47 @@
 
 @define
 class RunLog:
-    """Read what the backend servers ran, and keep what a killed one had logged."""
+    """Read the run logs of the backend servers, including those of killed servers."""
 
     fleet: Fleet
-    _kept: list[dict[str, Any]] = field(factory=list)
+    _saved_runs: list[dict[str, Any]] = field(factory=list)
 
     async def kill(self, server: str) -> None:
-        """Kill a backend server, keeping its log; new work is cut off from it first.
+        """Kill a backend server and keep its run log.
 
-        A stand-in's log dies with it. What arrives between reading and killing would run unseen.
+        A stand-in's log is lost when it is killed. New work is blocked before the log is read, as
+        requests that arrive between reading and killing would run without being recorded.
         """
         await self.fleet.fault(f"server/*/{server}", "cut")
         address = f"127.0.0.1:{self.fleet.servers[server].port}"
-        self._kept += (await self.fleet.get(address, "/admin/runs"))["runs"]
+        self._saved_runs += (await self.fleet.get(address, "/admin/runs"))["runs"]
         self.fleet.processes.kill(server)
 
     async def restart(self, server: str) -> None:
-        """Start a killed backend server again; only then its open connections are reset."""
+        """Restart a killed backend server; its open connections are reset only after that."""
         self.fleet.start_server(server)
         await self.fleet.fault(f"server/*/{server}", "refuse")
         await self.fleet.fault(f"server/*/{server}", "pass")
 
     async def starts(self) -> Counter[str]:
-        """Count by marker the runs that have begun."""
-        runs = self._kept + await self.fleet.runs()
+        """Return the number of started runs by marker."""
+        runs = self._saved_runs + await self.fleet.runs()
         return Counter(run["marker"] for run in runs if run["started_unix_s"] is not None)
 
     async def is_idle(self) -> bool:
-        """Tell whether nothing runs or waits on any backend server."""
+        """Return whether no request is running or waiting on any backend server."""
         return all(run["finished_unix_s"] is not None for run in await self.fleet.runs())
 
 
 async def settle(fleet: Fleet, log: RunLog) -> None:
-    """Heal every route and return once all that was on its way has run or was dropped."""
+    """Restore every route and wait until all requests in transit have run or were dropped."""
     await fleet.fault("*", "pass")
-    await wait_until(partial(_is_quiet, fleet, log))
+    await wait_until(partial(_is_idle, fleet, log))
     await wait_until(partial(_is_connected, fleet))
-    await wait_until(partial(_is_quiet, fleet, log))
+    await wait_until(partial(_is_idle, fleet, log))
 
 
-async def _is_quiet(fleet: Fleet, log: RunLog) -> bool:
+async def _is_idle(fleet: Fleet, log: RunLog) -> bool:
     states = await asyncio.gather(*(fleet.status(vm) for vm in fleet.entries))
     return not any(each["dispatch"]["in_progress"] for each in states) and await log.is_idle()
 
@@ -125,21 +126,21 @@
 
 
 async def wait_until_served(
-    fleet: Fleet, session: aiohttp.ClientSession, asks: Iterable[Any]
+    fleet: Fleet, session: aiohttp.ClientSession, specs: Iterable[Any]
 ) -> None:
-    """Return once each (ask, entry VM, account) is answered, so that no fault lingers."""
+    """Wait until each (spec, entry VM, account) is answered, so that no fault persists."""
 
-    def answered(ask: RequestSpec, vm: str, account: str) -> Callable[[], Awaitable[bool]]:
+    def answered(spec: RequestSpec, vm: str, account: str) -> Callable[[], Awaitable[bool]]:
         async def is_answered() -> bool:
-            return (await ask.send(fleet, session, vm, account)).is_answered
+            return (await spec.send(fleet, session, vm, account)).is_answered
 
         return is_answered
 
-    await asyncio.gather(*(wait_until(answered(*each)) for each in asks))
+    await asyncio.gather(*(wait_until(answered(*each)) for each in specs))
 
 
 def reported_outcome(reply: Reply) -> str:
-    """Name what the caller was told."""
+    """Return a label for the outcome that the caller received."""
     if reply.is_answered:
         return "answered"
     if reply.problem:
@@ -148,12 +149,12 @@
 
 
 def contradicted_replies(replies: Iterable[Reply], starts: Counter[str]) -> list[str]:
-    """Return the replies that the run logs contradict."""
+    """Return a message for each reply that the run logs contradict."""
     found = []
     for reply in replies:
         ran = starts[reply.marker]
         if reply.run == "no" and ran:
-            found.append(f"{reply.marker}: told not run, ran {ran} times: {reply.problem}")
+            found.append(f"{reply.marker}: reported as not run, ran {ran} times: {reply.problem}")
         if reply.is_answered and not ran:
             found.append(f"{reply.marker}: answered, never ran")
         if reply.is_whole and not reply.is_answered and not reply.problem:
--- a/tests/test_backends_attempts.py
+++ b/tests/test_backends_attempts.py
@@ -25,7 +25,7 @@
 
 @define
 class Sink:
-    """Keep an answer."""
+    """Record an answer."""
 
     status: int = 0
     body: bytes = b""
@@ -41,12 +41,12 @@
         self.is_whole = True
 
     async def abort(self, refusal: Refusal) -> None:
-        raise AssertionError("an attempt leaves this to the dispatcher")
+        raise AssertionError("an attempt must leave abort() to the dispatcher")
 
 
 @define
 class Backend:
-    """Hold a server whose handlers a test gives, and count the calls."""
+    """Backend server that answers with the handlers of a test and records the calls."""
 
     handlers: dict[str, Handler] = field(factory=dict)
     calls: list[str] = field(factory=list)
@@ -59,15 +59,15 @@
 
 @pytest.fixture
 async def backend() -> AsyncIterator[Backend]:
-    held = Backend()
+    fake_server = Backend()
     app = web.Application()
-    app.router.add_route("*", "/{path:.*}", held.handle)
+    app.router.add_route("*", "/{path:.*}", fake_server.handle)
     runner = web.AppRunner(app, handler_cancellation=True, shutdown_timeout=0.1)
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", 0).start()
     host, port = runner.addresses[0][:2]
-    held.address = f"{host}:{port}"
-    yield held
+    fake_server.address = f"{host}:{port}"
+    yield fake_server
     await runner.cleanup()
 
 
@@ -105,7 +105,7 @@
 
 async def attempt(
     backend: Backend,
-    make: Any,
+    attempt_class: Any,
     method: str = "POST",
     repeatable: bool = False,
     deadline_s: float = 5.0,
@@ -121,9 +121,9 @@
         kv_capacity_tokens=0,
     )
     try:
-        result = await make(
+        result = await attempt_class(
             sessions=sessions,
-            request=request_for(method, make is EngineAttempt, repeatable, deadline_s),
+            request=request_for(method, attempt_class is EngineAttempt, repeatable, deadline_s),
             server=server,
             attempt=Attempt(),
             number=1,
@@ -135,13 +135,13 @@
     return result, sink
 
 
-async def drop(request: web.Request) -> web.StreamResponse:
+async def close_connection(request: web.Request) -> web.StreamResponse:
     assert request.transport is not None
     request.transport.close()
     return web.Response()
 
 
-async def never(request: web.Request) -> web.StreamResponse:
+async def never_answer(request: web.Request) -> web.StreamResponse:
     await asyncio.Event().wait()
     raise AssertionError
 
@@ -158,7 +158,7 @@
         response = web.StreamResponse(headers={"Content-Length": str(len(EVENTS))})
         await response.prepare(request)
         await response.write(EVENTS[start:end])
-        return await drop(request)
+        return await close_connection(request)
 
     return handler
 
@@ -168,12 +168,12 @@
 async def test_a_call_is_sent_once_whatever_its_method(
     backend: Backend, method: str, repeatable: bool
 ) -> None:
-    """A service takes a call and drops the connection before it answers.
+    """A service closes the connection after a call without answering it.
 
-    aiohttp sends a GET, PUT or DELETE again by itself then, on a new connection as well; a call
-    that may not be repeated would run twice.
+    aiohttp resends a GET, PUT or DELETE by itself then, even if the connection was new, and a call
+    that must not be repeated would run twice.
     """
-    backend.handlers[method] = drop
+    backend.handlers[method] = close_connection
     result, _ = await attempt(backend, ServiceAttempt, method, repeatable)
     assert backend.calls == [method]
     assert result.state is AttemptState.UNKNOWN
@@ -191,8 +191,8 @@
 async def test_an_engine_started_since_the_request_was_sent_cannot_say_not_run(
     backend: Backend, payload: dict[str, Any], state: AttemptState
 ) -> None:
-    """An engine takes a query, restarts, and is asked at the deadline to cancel it."""
-    backend.handlers = {"POST": never, "DELETE": answer(payload)}
+    """An engine receives a request, restarts, and is asked to cancel it at the deadline."""
+    backend.handlers = {"POST": never_answer, "DELETE": answer(payload)}
     result, _ = await attempt(backend, EngineAttempt, deadline_s=0.1)
     assert result.state is state
 
@@ -208,7 +208,7 @@
 
 
 async def test_a_stream_that_breaks_off_often_is_resumed_to_its_end(backend: Backend) -> None:
-    """An engine's connection closes after each event; each resume brings the next ones."""
+    """An engine's connection closes after each event; each resume delivers the next one."""
     size = EVENTS.index(b"\n\n") + 2
 
     async def resume(request: web.Request) -> web.StreamResponse:
@@ -230,8 +230,8 @@
 
 
 async def test_the_library_still_resends_without_the_safeguard(backend: Backend) -> None:
-    """Fail once aiohttp no longer sends again by itself: the safeguard can go then."""
-    backend.handlers["PUT"] = drop
+    """Fail once aiohttp no longer resends by itself; the safeguard can then be removed."""
+    backend.handlers["PUT"] = close_connection
     async with aiohttp.ClientSession() as session:
         with pytest.raises(aiohttp.ServerDisconnectedError):
             await session.put(f"http://{backend.address}/")
--- a/tests/test_callers_entries.py
+++ b/tests/test_callers_entries.py
@@ -1,4 +1,4 @@
-"""A caller that asks where to send is told of someone, or to ask another VM."""
+"""The answer to GET /v1/entries names at least one entry VM, or refers to another VM."""
 
 from attrs import evolve
 from result import Err, Ok
@@ -22,10 +22,10 @@
     return EntryDirectory(view=view, ledger=ledger)
 
 
-def test_vm_that_knows_nobody_sends_callers_to_another() -> None:
-    # A VM starts, listens for callers and hasn't heard its peers yet, or leaves as the last one.
-    # Asked for entry VMs it named nobody, with 200 and for ten seconds, and the caller that took
-    # it at its word had nobody to send to.
+def test_vm_without_live_entries_refuses_to_list_them() -> None:
+    # A VM has started, listens for callers and hasn't received any update from its peers, or it
+    # leaves as the last one. With an empty list, status 200 and a validity of ten seconds, its
+    # callers would have nowhere to send requests.
     for phase in (Phase.STARTING, Phase.LEAVING):
         answer = directory(phase).answer(ACCOUNT, REGION, {})
         assert isinstance(answer, Err)
@@ -35,22 +35,23 @@
         assert refusal.retry_at_unix_s is not None
 
 
-def test_vm_that_is_starting_names_the_peers_it_heard() -> None:
-    held = directory(Phase.STARTING)
+def test_starting_vm_lists_the_peers_that_it_has_seen() -> None:
+    entry_directory = directory(Phase.STARTING)
     peer = Member(vm="milan-2", incarnation=1, region=REGION, caller_address="127.0.0.1:1")
-    held.view.observe_heartbeat(peer, now_unix_s())
-    answer = held.answer(ACCOUNT, REGION, {})
+    entry_directory.view.observe_heartbeat(peer, now_unix_s())
+    answer = entry_directory.answer(ACCOUNT, REGION, {})
     assert isinstance(answer, Ok)
     assert [entry["vm"] for entry in answer.ok_value["entries"]] == ["milan-2"]
 
 
-def test_silent_vm_of_the_own_region_is_named_no_longer_than_others_hear_of_it() -> None:
-    # A VM here was heard seven seconds ago, though its pace isn't known and it may yet live; one of
-    # another region is only heard of every few seconds, and goes on being named.
-    held, now = directory(Phase.READY), now_unix_s()
+def test_silent_vm_of_the_own_region_is_delisted_before_those_of_other_regions() -> None:
+    # A VM of the own region was last seen seven seconds ago; it may still be live, as its heartbeat
+    # interval isn't known. Updates about a VM of another region arrive only every few seconds, so
+    # that one is still listed.
+    entry_directory, now = directory(Phase.READY), now_unix_s()
     for vm, region in (("milan-2", REGION), ("turin-1", "turin")):
-        told = Member(vm=vm, incarnation=1, region=region, last_seen_unix_s=now - 7.0)
-        held.view.observe_summary(told, now)
-    answer = held.answer(ACCOUNT, REGION, {})
+        member = Member(vm=vm, incarnation=1, region=region, last_seen_unix_s=now - 7.0)
+        entry_directory.view.observe_summary(member, now)
+    answer = entry_directory.answer(ACCOUNT, REGION, {})
     assert isinstance(answer, Ok)
     assert [each["vm"] for each in answer.ok_value["entries"]] == ["milan-1", "turin-1"]
--- a/tests/test_callers_fuzz.py
+++ b/tests/test_callers_fuzz.py
@@ -1,4 +1,4 @@
-"""Whatever a caller sends is read or refused, never an error of the gateway."""
+"""Any input from a caller is accepted or refused and never causes an internal error."""
 
 import math
 
@@ -60,7 +60,7 @@
 
 
 @given(st.dictionaries(ANY_TEXT, ANY_TEXT))
-def test_passed_on_headers_can_be_written_again(given_headers: dict[str, str]) -> None:
+def test_forwarded_headers_can_be_encoded(given_headers: dict[str, str]) -> None:
     if headers.check_text("/", given_headers).is_err():
         return
     for name, value in headers.public_headers(given_headers):
@@ -71,7 +71,7 @@
 
 
 @given(ANY_TEXT | st.from_regex(r"(?i)[0-9a-f]{2}-[0-9a-f]{32}-[0-9a-f]{16}-[0-9a-f]{2}\s?"))
-def test_a_trace_goes_on_whole_or_not_at_all(text: str) -> None:
+def test_a_traceparent_is_forwarded_unchanged_or_dropped(text: str) -> None:
     assert headers.read_traceparent({"traceparent": text}) in ("", text.strip())
 
 
@@ -84,9 +84,11 @@
 def test_a_changed_id_is_never_authentic(data: st.DataObject, account: str) -> None:
     secret = b"s" * 32
     genuine = format_id(secret, "milan-1", 1, NOW_UNIX_S, 7, account)
-    place = data.draw(st.integers(0, len(genuine) - 1))
-    letter = data.draw(st.characters(codec="ascii").filter(lambda each: each != genuine[place]))
-    changed = genuine[:place] + letter + genuine[place + 1 :]
+    position = data.draw(st.integers(0, len(genuine) - 1))
+    character = data.draw(
+        st.characters(codec="ascii").filter(lambda each: each != genuine[position])
+    )
+    changed = genuine[:position] + character + genuine[position + 1 :]
     assert is_authentic(genuine, secret, account)
     assert not is_authentic(changed, secret, account)
     assert not is_authentic(genuine, secret, account + "x")
--- a/tests/test_server_watch.py
+++ b/tests/test_server_watch.py
@@ -1,4 +1,4 @@
-"""Which closed connections are taken for the end of a server."""
+"""When a closed connection counts as the end of a server."""
 
 import asyncio
 
@@ -9,11 +9,13 @@
 from pomelobarrow.decision.fingerprint import fingerprint
 
 
-async def _hang_up(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def _close(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     writer.close()
 
 
-async def _watched(address: str, is_in_service: bool = True) -> list[object]:
+async def _events_after_closed_connections(
+    address: str, is_in_service: bool = True
+) -> list[object]:
     events: list[object] = []
     watch = ServerWatch(is_in_service=lambda server: is_in_service, observe=events.append)
     server = evolve(SERVER, address=address)
@@ -23,8 +25,8 @@
 
 
 async def _free_address() -> str:
-    """Return an address where somebody listened a moment ago."""
-    listening = await asyncio.start_server(_hang_up, "127.0.0.1", 0)
+    """Return an address on which nothing listens any more."""
+    listening = await asyncio.start_server(_close, "127.0.0.1", 0)
     host, port = listening.sockets[0].getsockname()
     listening.close()
     await listening.wait_closed()
@@ -32,7 +34,7 @@
 
 
 async def test_server_whose_address_refuses_connections_has_ended() -> None:
-    events = await _watched(await _free_address())
+    events = await _events_after_closed_connections(await _free_address())
     assert events == [
         ServerEnded(
             server="s1",
@@ -43,18 +45,18 @@
     ]
 
 
-async def test_server_that_closes_a_connection_and_lives_has_not_ended() -> None:
-    listening = await asyncio.start_server(_hang_up, "127.0.0.1", 0)
+async def test_server_that_closes_a_connection_and_still_listens_has_not_ended() -> None:
+    listening = await asyncio.start_server(_close, "127.0.0.1", 0)
     host, port = listening.sockets[0].getsockname()
-    assert await _watched(f"{host}:{port}") == []
+    assert await _events_after_closed_connections(f"{host}:{port}") == []
     listening.close()
 
 
-async def test_server_that_leaves_as_planned_counts_as_no_crash() -> None:
-    assert await _watched(await _free_address(), is_in_service=False) == []
+async def test_server_that_leaves_as_planned_is_not_reported_as_crashed() -> None:
+    assert await _events_after_closed_connections(await _free_address(), is_in_service=False) == []
 
 
-def test_fingerprint_is_of_all_that_comes_again() -> None:
+def test_fingerprint_covers_every_part_of_a_request() -> None:
     parts = ("caller", "POST", "host", "/path", b"body")
     changed = [
         fingerprint("other", *parts[1:]),  # type: ignore[arg-type]
