--- a/src/pomelobarrow/kernel/settings.py
+++ b/src/pomelobarrow/kernel/settings.py
@@ -100,7 +100,7 @@
     hop_listen: str
     region_by_failure_domain: Mapping[str, str]
     # A planned stop that lasts longer is cut off.
-    stop_within_s: float
+    stop_timeout_s: float
     # The longest time for which clients keep an answer of the directory.
     max_entry_age_s: float
     retry_bound: RetryBound
--- a/src/pomelobarrow/platform/plugin.py
+++ b/src/pomelobarrow/platform/plugin.py
@@ -5,7 +5,7 @@
 from pomelobarrow.platform.records import own_sources, platform_sources
 from pomelobarrow.platform.store import Store
 from pomelobarrow.platform.wire import platform_wire
-from pomelobarrow.published.reading import StoreReader
+from pomelobarrow.published.store_reader import StoreReader
 from pomelobarrow.relay.wire import RelayWire
 
 
--- a/src/pomelobarrow/platform/settings.py
+++ b/src/pomelobarrow/platform/settings.py
@@ -71,7 +71,7 @@
             directory_listen=listen["Directory"],
             hop_listen=f"{ip}:{int(decoded['InternalPorts'][0])}",
             region_by_failure_domain=dict(decoded["Zones"]),
-            stop_within_s=float(bounds["GraceS"]),
+            stop_timeout_s=float(bounds["GraceS"]),
             max_entry_age_s=float(bounds["ttl_max_s"]),
             retry_bound=RetryBound(
                 ratio=float(bounds["BudgetRatio"]),
--- a/src/pomelobarrow/platform/store.py
+++ b/src/pomelobarrow/platform/store.py
@@ -13,7 +13,7 @@
 
 from pomelobarrow.decision.keyspace import Change
 from pomelobarrow.kernel.clock import now_unix_s
-from pomelobarrow.published.reading import Page, ReadError, ReadFailure, StoreReader
+from pomelobarrow.published.store_reader import Page, ReadError, ReadFailure, StoreReader
 
 RANGE_PATH = "/kv-range"
 WATCH_PATH = "/kv-watch"
--- a/src/pomelobarrow/published/plugin.py
+++ b/src/pomelobarrow/published/plugin.py
@@ -8,7 +8,7 @@
 from pomelobarrow.kernel.hooks import PhasedService, StartPhase, StatusSection, hookimpl
 from pomelobarrow.peers.table import PeerTable
 from pomelobarrow.published.keyspaces import PublishedState
-from pomelobarrow.published.reading import StoreReader
+from pomelobarrow.published.store_reader import StoreReader
 from pomelobarrow.published.watcher import PlatformWatcher
 
 # Leases that lapse together are given up together.
--- a/src/pomelobarrow/published/watcher.py
+++ b/src/pomelobarrow/published/watcher.py
@@ -15,7 +15,7 @@
 from pomelobarrow.kernel.context import Context
 from pomelobarrow.published.events import PlatformReachable, PlatformUnreachable
 from pomelobarrow.published.keyspaces import PublishedState
-from pomelobarrow.published.reading import Page, ReadError, ReadFailure, StoreReader
+from pomelobarrow.published.store_reader import Page, ReadError, ReadFailure, StoreReader
 
 # A watch's connection can be forgotten on its way and stay silent for good. A change then waits
 # for the end of the poll, so that one is short; twelve polls in three seconds are four reads a
--- a/src/pomelobarrow/relay/plugin.py
+++ b/src/pomelobarrow/relay/plugin.py
@@ -78,7 +78,7 @@
     if relay is None:
         return
     now = now_unix_s()
-    late_until, finish_by = now + LATE_CLIENTS_S, now + relay.stop_within_s - CLOSING_S
+    late_until, finish_by = now + LATE_CLIENTS_S, now + relay.stop_timeout_s - CLOSING_S
     context.get(PlannedStop).begin(late_until, finish_by)
     await context.get(RelayListeners).wait_until_idle(late_until, finish_by)
 
--- a/tests/test_published_watcher.py
+++ b/tests/test_published_watcher.py
@@ -6,7 +6,7 @@
 from result import Err, Ok, Result
 
 from pomelobarrow.published.keyspaces import PublishedState
-from pomelobarrow.published.reading import Page, ReadError, ReadFailure, StoreReader
+from pomelobarrow.published.store_reader import Page, ReadError, ReadFailure, StoreReader
 from pomelobarrow.published.watcher import PlatformWatcher
 
 NOBODY_REACHED = ReadError(failure=ReadFailure.UNREACHABLE)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -14,7 +14,7 @@
 from pomelobarrow.decision.keyspace import KeyspaceCopy
 from pomelobarrow.kernel.clock import now_unix_s
 from pomelobarrow.platform.store import KeyspaceSource, Store
-from pomelobarrow.published.reading import ReadFailure
+from pomelobarrow.published.store_reader import ReadFailure
 
 PAGE_ITEMS = 2
 KEYSPACE = "things"
