--- a/deploy/serve.py
+++ b/deploy/serve.py
@@ -6,13 +6,14 @@
 import sys
 from pathlib import Path
 
-# The platform may tell of new settings while the imports below still run, for half a second and
-# more on a busy machine. Until the daemon handles that signal it would end the process, without a
-# word. The settings are read later anyway.
+# The platform may send SIGHUP for new settings while the imports below still run, which takes half
+# a second and more on a busy machine. Until the daemon has set its handler, the signal would end
+# the process without a message. The settings are read after the imports, so it can be ignored.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
-# Starting takes processor time, during which nothing is served after a loss of power. The HTTP
-# library builds a TLS context as it is imported, of all certificates of the machine (0.1 s), and
-# nothing here speaks TLS. What imports allocate stays, so that collecting it is in vain.
+# After a loss of power nothing is served until the daemon has started, so the start saves processor
+# time. The HTTP library builds a TLS context of all the machine's certificates when it is imported
+# (0.1 s), and nothing here uses TLS. Objects that imports allocate are never freed, so that garbage
+# collections would find nothing.
 os.environ["SSL_CERT_FILE"] = os.devnull
 os.environ["SSL_CERT_DIR"] = os.devnull
 gc.disable()
--- a/src/pomelobarrow/kernel/__init__.py
+++ b/src/pomelobarrow/kernel/__init__.py
@@ -1,1 +1,1 @@
-"""The core: named hooks, plug-ins, shared parts and the daemon's lifecycle."""
+"""The core: hooks, plug-ins, shared parts and the daemon's lifecycle."""
--- a/src/pomelobarrow/kernel/context.py
+++ b/src/pomelobarrow/kernel/context.py
@@ -1,4 +1,4 @@
-"""Shared parts by type, built on first use."""
+"""A registry of the parts that plug-ins share, by type, each built on first use."""
 
 from collections.abc import Callable
 from typing import Any, TypeVar, cast
@@ -15,7 +15,7 @@
 
 
 class Context:
-    """Hold the settings, this start's incarnation and the shared parts."""
+    """Give plug-ins access to the settings, this start's incarnation and the shared parts."""
 
     def __init__(self, settings: Settings, incarnation: int, hooks: pluggy.PluginManager) -> None:
         self.settings = settings
@@ -26,7 +26,7 @@
         self._parts: dict[type, Any] = {}
 
     def provide(self, kind: type[Part], factory: Callable[["Context"], Part]) -> None:
-        """Register how to build a part."""
+        """Register the factory of a part."""
         self._factories[kind] = factory
 
     def get(self, kind: type[Part]) -> Part:
@@ -36,7 +36,7 @@
         return cast(Part, self._parts[kind])
 
     def observe(self, event: object) -> None:
-        """Show a typed event to every plug-in."""
+        """Pass a typed event to every plug-in."""
         self.hooks.hook.observe(event=event)
 
     def _build(self, kind: type[Part]) -> Part:
--- a/src/pomelobarrow/kernel/daemon.py
+++ b/src/pomelobarrow/kernel/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: a service tree, its start and its planned stop."""
+"""Run the daemon: start its service tree, reload its settings and drain it on a planned stop."""
 
 import asyncio
 import gc
@@ -19,9 +19,9 @@
 
 EXIT_OK = 0
 EXIT_FAILED = 1
-# Objects allocated before a collection, and collections before one of the next generation. Requests
-# leave few cycles behind; the default of 700 collects some tens of times a second under load.
-COLLECT_AFTER = (10_000, 20, 20)
+# Allocations before a collection, then collections of a generation before one of the next. Requests
+# create few reference cycles; the default of 700 collects tens of times a second under load.
+GC_THRESHOLDS = (10_000, 20, 20)
 
 SettingsLoader = Callable[[], Result[Settings, tuple[Fault, ...]]]
 
@@ -42,7 +42,7 @@
 
 
 def new_incarnation() -> int:
-    """Return a number that grows from start to start of the same VM."""
+    """Return a number that increases with each start of the same VM."""
     return time.time_ns() // 1_000
 
 
@@ -53,14 +53,14 @@
         hooks.register(plugin)
     context = Context(settings, new_incarnation(), hooks)
     hooks.hook.provide_parts(context=context)
-    _spare_collector()
+    _configure_garbage_collector()
     return context
 
 
-def _spare_collector() -> None:
-    """Keep the garbage collector from what lasts as long as the process, and run it rarely."""
+def _configure_garbage_collector() -> None:
+    """Exempt the objects allocated so far from garbage collection and make collections rare."""
     gc.freeze()
-    gc.set_threshold(*COLLECT_AFTER)
+    gc.set_threshold(*GC_THRESHOLDS)
     gc.enable()
 
 
@@ -74,7 +74,7 @@
 
 
 def reload_settings(context: Context, loaded: Result[Settings, tuple[Fault, ...]]) -> None:
-    """Take over settings that were read again; those with faults leave the old ones in force."""
+    """Apply settings that were read again; if they have faults, the old ones stay in force."""
     if isinstance(loaded, Err):
         faults = [str(fault) for fault in loaded.err_value]
         log.error("settings refused", faults=faults, remedy="correct the file and send SIGHUP")
@@ -87,10 +87,10 @@
 
 
 async def _serve(context: Context, reload: SettingsLoader | None) -> int:
-    stop_asked, stop_now = asyncio.Event(), asyncio.Event()
-    _handle_signals(stop_asked, stop_now)
+    stop_requested, stop_now = asyncio.Event(), asyncio.Event()
+    _handle_signals(stop_requested, stop_now)
     if reload is not None:
-        # Unhandled, the signal would end the process and cut off every answer.
+        # Without a handler, SIGHUP would end the process and cut off every answer.
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGHUP, lambda: reload_settings(context, reload()))
     daemon = Daemon(context)
@@ -101,7 +101,7 @@
         await daemon.stop()
         return EXIT_FAILED
     log.info("started", vm=context.settings.vm, incarnation=context.incarnation)
-    await _first(stop_asked.wait(), daemon.wait_until_stopped())
+    await _wait_for_first(stop_requested.wait(), daemon.wait_until_stopped())
     await _drain(context, stop_now)
     await daemon.stop()
     return EXIT_FAILED if daemon.crashed else EXIT_OK
@@ -110,37 +110,37 @@
 async def _drain(context: Context, stop_now: asyncio.Event) -> None:
     log.info("draining", vm=context.settings.vm)
     context.is_draining = True
-    await _first(_finish(context), stop_now.wait())
+    await _wait_for_first(_drain_and_close(context), stop_now.wait())
     log.info("drained", vm=context.settings.vm, at_once=stop_now.is_set())
 
 
-async def _finish(context: Context) -> None:
-    """Let the work in progress end, then let the answers leave the sockets."""
-    await _all(context.hooks.hook.drain(context=context))
+async def _drain_and_close(context: Context) -> None:
+    """Wait for the work in progress to end, then for the answers to leave the sockets."""
+    await _gather(context.hooks.hook.drain(context=context))
     log.info("closing", vm=context.settings.vm)
-    await _all(context.hooks.hook.close(context=context))
+    await _gather(context.hooks.hook.close(context=context))
 
 
 def _services(context: Context) -> list[PhasedService]:
     return [each for part in context.hooks.hook.services(context=context) for each in part]
 
 
-def _handle_signals(stop_asked: asyncio.Event, stop_now: asyncio.Event) -> None:
+def _handle_signals(stop_requested: asyncio.Event, stop_now: asyncio.Event) -> None:
     def on_signal() -> None:
-        if stop_asked.is_set():
+        if stop_requested.is_set():
             stop_now.set()
-        stop_asked.set()
+        stop_requested.set()
 
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, on_signal)
 
 
-async def _all(awaitables: Iterable[Awaitable[None]]) -> None:
+async def _gather(awaitables: Iterable[Awaitable[None]]) -> None:
     await asyncio.gather(*awaitables)
 
 
-async def _first(*awaitables: Awaitable[object]) -> None:
+async def _wait_for_first(*awaitables: Awaitable[object]) -> None:
     tasks = [asyncio.ensure_future(each) for each in awaitables]
     try:
         await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
--- a/src/pomelobarrow/kernel/hooks.py
+++ b/src/pomelobarrow/kernel/hooks.py
@@ -1,4 +1,4 @@
-"""The named hooks that plug-ins implement."""
+"""The hooks that plug-ins implement."""
 
 import enum
 from typing import TYPE_CHECKING, Any
@@ -17,7 +17,7 @@
 
 
 class StartPhase(enum.IntEnum):
-    """Order services at start; a stop runs the other way round."""
+    """Order the start of services; they stop in the reverse order."""
 
     PLATFORM = 1
     PEERS = 2
@@ -28,7 +28,7 @@
 
 @frozen
 class PhasedService:
-    """Name a service and the phase it starts in."""
+    """Pair a service with the phase it starts in."""
 
     phase: StartPhase
     service: Service
@@ -36,14 +36,14 @@
 
 @frozen
 class StatusSection:
-    """Hold one part of the status answer."""
+    """Name one section of the status answer and list its values."""
 
     name: str
     values: dict[str, Any]
 
 
 class Hooks:
-    """Specify what a plug-in may contribute."""
+    """Declare the hooks that a plug-in may implement."""
 
     @hookspec
     def provide_parts(self, context: "Context") -> None:
@@ -59,7 +59,7 @@
 
     @hookspec
     def status(self, context: "Context") -> StatusSection:  # type: ignore[empty-body]
-        """Return this plug-in's part of the status answer."""
+        """Return this plug-in's section of the status answer."""
 
     @hookspec
     def not_ready_reason(self, context: "Context") -> str | None:
@@ -67,16 +67,16 @@
 
     @hookspec
     def drain(self, context: "Context") -> Any:
-        """Return an awaitable that ends once this plug-in has let its work finish."""
+        """Return an awaitable that ends once this plug-in's work in progress has finished."""
 
     @hookspec
     def close(self, context: "Context") -> Any:
-        """Return an awaitable that ends once all that was answered has left the sockets."""
+        """Return an awaitable that ends once all answers have left the sockets."""
 
     @hookspec
     def reloaded(self, context: "Context") -> None:
-        """Take over settings that were read again; addresses count from the next start."""
+        """Apply settings that were read again; changed addresses take effect at the next start."""
 
     @hookspec
     def observe(self, event: object) -> None:
-        """Take note of a typed event, such as a finished request."""
+        """Handle a typed event, such as a finished request."""
--- a/src/pomelobarrow/kernel/settings.py
+++ b/src/pomelobarrow/kernel/settings.py
@@ -1,4 +1,4 @@
-"""Read one VM's settings from its YAML file and check them whole."""
+"""Read one VM's settings from its YAML file and report all faults in them."""
 
 import enum
 import re
@@ -37,7 +37,7 @@
 
 
 class TraceExporter(enum.Enum):
-    """Say where spans go."""
+    """Name where spans are exported to."""
 
     OFF = "off"
     STDERR = "stderr"
@@ -57,7 +57,7 @@
 
 @frozen(kw_only=True)
 class CallerSettings:
-    """Hold where callers are served."""
+    """Configure the addresses and the body limit for callers."""
 
     listen: str
     advertise: str
@@ -66,7 +66,7 @@
 
 @frozen(kw_only=True)
 class PeerKey:
-    """Hold one shared key by which peers know each other; the first listed one signs."""
+    """Describe a shared key that authenticates peers; the first listed one signs."""
 
     id: str
     secret: str = field(repr=False)
@@ -74,7 +74,7 @@
 
 @frozen(kw_only=True)
 class PeerSettings:
-    """Hold where peers are served, how they know each other and whom to ask first."""
+    """Configure the addresses for peers, their keys and the peers to contact first."""
 
     listen: str
     advertise: str
@@ -84,14 +84,14 @@
 
 @frozen(kw_only=True)
 class PlatformSettings:
-    """Hold the platform's addresses."""
+    """Configure the platform's addresses."""
 
     addresses: tuple[str, ...]
 
 
 @frozen(kw_only=True)
 class RelaySettings:
-    """Hold where requests are relayed as they came, and the bounds that hold for it."""
+    """Configure the addresses and limits of the relay, which forwards requests unchanged."""
 
     front_listen: str
     readiness_listen: str
@@ -99,21 +99,21 @@
     # Where peers of other regions send requests; the port is the same on all VMs.
     hop_listen: str
     region_by_failure_domain: Mapping[str, str]
-    # A planned stop that lasts longer is cut off.
+    # A planned stop that takes longer is aborted.
     stop_timeout_s: float
-    # The longest time for which clients keep an answer of the directory.
-    max_entry_age_s: float
+    # The longest time for which clients may cache an answer of the directory.
+    max_directory_ttl_s: float
     retry_bound: RetryBound
 
     @property
     def hop_port(self) -> int:
-        """Return the port on which peers take requests of other regions."""
+        """Return the port on which VMs accept requests from peers of other regions."""
         return int(self.hop_listen.rpartition(":")[2])
 
 
 @frozen(kw_only=True)
 class OperatorSettings:
-    """Hold what operators see of this VM."""
+    """Configure the log level and the export of traces."""
 
     log_level: LogLevel = LogLevel.INFO
     trace: TraceExporter = TraceExporter.OFF
@@ -121,7 +121,7 @@
 
 @frozen(kw_only=True)
 class Settings:
-    """Hold one VM's settings."""
+    """Configure one VM."""
 
     vm: str
     region: str
@@ -130,9 +130,9 @@
     peers: PeerSettings
     platform: PlatformSettings
     operators: OperatorSettings = Factory(OperatorSettings)
-    # None where requests come by the product's own interface only.
+    # None if requests arrive only through the product's own interface.
     relay: RelaySettings | None = None
-    # Advertised address to the address to dial instead, such as a proxy's in a test.
+    # Maps an advertised address to the address to dial instead, such as a proxy's in a test.
     dial: Mapping[str, str] = Factory(dict)
 
     def address_to_dial(self, address: str) -> str:
@@ -142,7 +142,7 @@
 
 @frozen(kw_only=True)
 class _Section:
-    """Say how one section is read and built."""
+    """Describe how one section is read and built."""
 
     specs: Mapping[str, FieldSpec]
     build: Callable[..., Any]
@@ -150,7 +150,7 @@
 
 
 def load_settings(path: str | Path) -> Result[Settings, tuple[Fault, ...]]:
-    """Read a settings file; a relative secret_file counts from its directory."""
+    """Read a settings file; a relative secret_file is resolved against its directory."""
     match read_file(Path(path)):
         case Ok(decoded):
             return check_settings(decoded, Path(path).parent)
@@ -159,7 +159,7 @@
 
 
 def check_settings(decoded: object, directory: Path) -> Result[Settings, tuple[Fault, ...]]:
-    """Check decoded settings whole; secret files are read from the directory."""
+    """Check decoded settings and return all faults; secret files are read from the directory."""
     fields, faults = read_fields("", decoded, _TOP_SPECS)
     for section_name, section in _SECTIONS.items():
         if section_name not in fields:
@@ -175,7 +175,7 @@
     return Err(tuple(faults)) if faults else Ok(Settings(**fields))
 
 
-def _anything(value: Any) -> Result[Any, str]:
+def _any_value(value: Any) -> Result[Any, str]:
     return Ok(value)
 
 
@@ -186,7 +186,7 @@
     return Ok(value)
 
 
-def _reachable(value: Any) -> Result[Any, str]:
+def _advertised_address(value: Any) -> Result[Any, str]:
     if isinstance(value, str) and value.startswith(_WILDCARDS):
         return Err("give the address that others reach this VM by, not a wildcard")
     return _host_port(value)
@@ -298,7 +298,7 @@
     "callers": _Section(
         specs={
             "listen": FieldSpec(reader=_host_port, required=True),
-            "advertise": FieldSpec(reader=_reachable, required=True),
+            "advertise": FieldSpec(reader=_advertised_address, required=True),
             "max_body_bytes": FieldSpec(reader=integer(least=1024, most=LARGEST_MAX_BODY_BYTES)),
         },
         build=CallerSettings,
@@ -306,8 +306,8 @@
     "peers": _Section(
         specs={
             "listen": FieldSpec(reader=_host_port, required=True),
-            "advertise": FieldSpec(reader=_reachable, required=True),
-            "keys": FieldSpec(reader=_list_of(_anything, least=1), required=True, secret=True),
+            "advertise": FieldSpec(reader=_advertised_address, required=True),
+            "keys": FieldSpec(reader=_list_of(_any_value, least=1), required=True, secret=True),
             "seeds": FieldSpec(reader=_list_of(_host_port, least=0)),
         },
         build=PeerSettings,
@@ -330,7 +330,7 @@
     "region": FieldSpec(reader=name, required=True),
     "failure_domain": FieldSpec(reader=name, required=True),
     **{
-        section_name: FieldSpec(reader=_anything, required=section.required)
+        section_name: FieldSpec(reader=_any_value, required=section.required)
         for section_name, section in _SECTIONS.items()
     },
     "dial": FieldSpec(reader=_dial),
--- a/src/pomelobarrow/kernel/yaml_file.py
+++ b/src/pomelobarrow/kernel/yaml_file.py
@@ -1,4 +1,4 @@
-"""Decode YAML and JSON files, naming faults without showing a file's text."""
+"""Decode YAML and JSON files; faults never quote a file's text."""
 
 from collections.abc import Hashable
 from pathlib import Path
@@ -23,7 +23,7 @@
     """Refuse a mapping that states a key twice; plain YAML would keep the last."""
 
     def construct_mapping(self, node: Any, deep: bool = False) -> dict[Hashable, Any]:
-        """Build a mapping after a look at its keys."""
+        """Build a mapping after a check for repeated keys."""
         seen: set[Hashable] = set()
         for key_node, _ in node.value:
             if key_node.tag == MERGE_TAG:
@@ -68,10 +68,10 @@
         # The loader derives from SafeLoader, so it builds plain values only.
         return Ok(yaml.load(content, Loader=_UniqueKeyLoader))
     except yaml.MarkedYAMLError as error:
-        # The parser's own words aren't shown: they may quote a part of a secret.
+        # The parser's message isn't shown: it may quote part of a secret.
         line = error.problem_mark.line + 1 if error.problem_mark else 1
         seen = "a repeated key" if isinstance(error, _RepeatedKeyError) else "invalid YAML"
         return Err(Fault(path=f"{path}:{line}", seen=seen, remedy="correct it here"))
     except Exception:
-        # PyYAML lets errors of its converters through, such as ValueError on the date 2026-99-99.
+        # PyYAML doesn't wrap errors of its constructors, such as ValueError on the date 2026-99-99.
         return Err(Fault(path=path, seen="invalid YAML", remedy="write it as UTF-8 YAML"))
--- a/src/pomelobarrow/platform/__init__.py
+++ b/src/pomelobarrow/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter to the platform: it translates what the platform says and decides nothing."""
+"""The adapter to the platform: it translates the platform's formats and makes no decisions."""
--- a/src/pomelobarrow/platform/daemon.py
+++ b/src/pomelobarrow/platform/daemon.py
@@ -1,4 +1,4 @@
-"""Run the daemon on the settings that the platform lays."""
+"""Run the daemon with the settings file that the platform provides."""
 
 import sys
 
@@ -12,7 +12,7 @@
 
 
 def main() -> int:
-    """Serve until told to stop; return the exit code."""
+    """Serve until a planned stop has finished; return the exit code."""
     loaded = load_settings()
     if isinstance(loaded, Err):
         for fault in loaded.err_value:
--- a/src/pomelobarrow/platform/plugin.py
+++ b/src/pomelobarrow/platform/plugin.py
@@ -1,8 +1,8 @@
-"""The adapter's plug-in: the store's reader, and the wire's words where requests are relayed."""
+"""The adapter's plug-in: the store reader and the translation of the relay's headers."""
 
 from pomelobarrow.kernel.context import Context
 from pomelobarrow.kernel.hooks import hookimpl
-from pomelobarrow.platform.records import own_sources, platform_sources
+from pomelobarrow.platform.records import native_sources, platform_sources
 from pomelobarrow.platform.store import Store
 from pomelobarrow.platform.wire import platform_wire
 from pomelobarrow.published.store_reader import StoreReader
@@ -11,12 +11,12 @@
 
 @hookimpl
 def provide_parts(context: Context) -> None:
-    """Register the store's reader and the wire's translation."""
+    """Register the store reader and the translation of the relay's headers."""
     context.provide(StoreReader, _reader)
     context.provide(RelayWire, lambda _: platform_wire())
 
 
 def _reader(context: Context) -> StoreReader:
     relay = context.settings.relay
-    sources = platform_sources(relay.region_by_failure_domain) if relay else own_sources()
+    sources = platform_sources(relay.region_by_failure_domain) if relay else native_sources()
     return Store(addresses=context.settings.platform.addresses, sources=sources).reader()
--- a/src/pomelobarrow/platform/records.py
+++ b/src/pomelobarrow/platform/records.py
@@ -1,4 +1,4 @@
-"""Translate what the platform's store holds into the product's keyspaces."""
+"""Translate items of the platform's store into the product's keyspaces."""
 
 import ipaddress
 import math
@@ -30,11 +30,11 @@
 EVACUATION_PREFIX = "op/evacuate/"
 SERVER_PREFIX = "servers/"
 STATE_READY = "ready"
-STATE_BY_WORD = {"ready": STATE_READY, "draining": STATE_LEAVING}
+STATE_BY_NAME = {"ready": STATE_READY, "draining": STATE_LEAVING}
 MS_PER_S = 1_000.0
 MAX_PORT = 65_535
 
-KIND_BY_WORD = {
+ROUTE_KIND_BY_NAME = {
     "idempotent": RouteKind.IDEMPOTENT,
     "non_idempotent": RouteKind.NON_IDEMPOTENT,
     "stream": RouteKind.STREAM,
@@ -44,7 +44,7 @@
 def platform_sources(
     region_by_failure_domain: Mapping[str, str],
 ) -> Mapping[str, KeyspaceSource]:
-    """Return where the keyspaces lie in the users' store."""
+    """Return where the platform's store holds each keyspace, and how its items are translated."""
 
     def server_value(stored_key: str, entry: Mapping[str, Any]) -> dict[str, Any]:
         return _server(entry, region_by_failure_domain)
@@ -57,24 +57,24 @@
             prefix=SERVER_PREFIX,
             key_of=_server_key,
             value_of=server_value,
-            unreadable={"role": ROLE_UNUSABLE},
+            value_if_unreadable={"role": ROLE_UNUSABLE},
         ),
     }
 
 
-def own_sources() -> Mapping[str, KeyspaceSource]:
-    """Return where the keyspaces lie in a store that holds the product's own values."""
+def native_sources() -> Mapping[str, KeyspaceSource]:
+    """Return where a store that holds the product's own values has each keyspace."""
 
     def config_key(stored_key: str) -> str:
         return stored_key.removeprefix(f"{CONFIG}/")
 
     return {
-        CONFIG: KeyspaceSource(prefix=f"{CONFIG}/", key_of=config_key, value_of=_as_it_is),
-        VMS: KeyspaceSource(prefix=f"{VMS}/", key_of=str, value_of=_as_it_is),
+        CONFIG: KeyspaceSource(prefix=f"{CONFIG}/", key_of=config_key, value_of=_unchanged),
+        VMS: KeyspaceSource(prefix=f"{VMS}/", key_of=str, value_of=_unchanged),
     }
 
 
-def _as_it_is(stored_key: str, value: Any) -> Any:
+def _unchanged(stored_key: str, value: Any) -> Any:
     return value
 
 
@@ -105,15 +105,15 @@
         "role": ROLE_BACKEND_SERVER,
         "region": region_by_failure_domain[failure_domain],
         "failure_domain": failure_domain,
-        "state": STATE_BY_WORD[_text(entry, "State")],
+        "state": STATE_BY_NAME[_text(entry, "State")],
         "address": _address(entry),
         "pool": _text(entry, "Service"),
-        "slots": _whole(entry, "Slots", at_least=1),
-        "cold_left_s": _whole(entry, "ColdLeftMs", default=0) / MS_PER_S,
-        # The start of this incarnation; servers that never start again under their id may leave
-        # it out.
-        "born_unix_ms": _whole(entry, "born", default=0),
-        # The entry goes when the server falls silent, at times also while the store is away.
+        "slots": _integer(entry, "Slots", at_least=1),
+        "cold_left_s": _integer(entry, "ColdLeftMs", default=0) / MS_PER_S,
+        # The start time of this incarnation; servers that never restart under the same id may
+        # omit it.
+        "born_unix_ms": _integer(entry, "born", default=0),
+        # The entry expires when the server falls silent, at times also while the store is down.
         "leased": True,
     }
 
@@ -121,7 +121,7 @@
 def _text(entry: Mapping[str, Any], name: str) -> str:
     value = entry[name]
     if not isinstance(value, str) or not value:
-        raise TypeError(f"{name}: {value!r} is no text")
+        raise TypeError(f"{name}: {value!r} is not a non-empty string")
     return value
 
 
@@ -130,17 +130,17 @@
     host, _, port = address.rpartition(":")
     ipaddress.IPv4Address(host)
     if not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
-        raise ValueError(f"Address: {address!r} has no port")
+        raise ValueError(f"Address: {address!r} has no valid port")
     return address
 
 
-def _whole(
+def _integer(
     entry: Mapping[str, Any], name: str, at_least: int = 0, default: int | None = None
 ) -> int:
     value = entry[name] if default is None else entry.get(name, default)
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     if not is_number or not math.isfinite(value) or value != int(value) or value < at_least:
-        raise ValueError(f"{name}: {value!r} is no whole number from {at_least}")
+        raise ValueError(f"{name}: {value!r} is not a whole number of at least {at_least}")
     return int(value)
 
 
@@ -161,9 +161,9 @@
         name=str(route["Name"]),
         host=str(route["Host"]),
         path_prefix=str(route["Prefix"]),
-        kind=KIND_BY_WORD[route["Kind"]],
+        kind=ROUTE_KIND_BY_NAME[route["Kind"]],
         pools=_shares(route),
-        # Counts backend servers, the first one included.
+        # The number of backend servers to try, the first one included.
         max_attempts=max(1, int(route.get("Attempts") or 1)),
         urgency=int(route.get("Priority") or 0),
         is_resumable=bool(route.get("Resumable")),
@@ -176,7 +176,7 @@
 
 
 def _silence_patience_s(first_answer_target_s: float, gap_target_s: float) -> float:
-    """Return after what silence clients leave a stream, as the platform's pages say."""
+    """Return after how much silence clients leave a stream, by the platform's documentation."""
     return max(2.0, 4.0 * first_answer_target_s, 8.0 * gap_target_s)
 
 
--- a/src/pomelobarrow/platform/settings.py
+++ b/src/pomelobarrow/platform/settings.py
@@ -1,4 +1,4 @@
-"""Translate the settings file that the platform lays on each machine."""
+"""Translate the settings file that the platform provides on each machine."""
 
 import os
 from collections.abc import Mapping
@@ -20,16 +20,16 @@
 from pomelobarrow.kernel.yaml_file import read_file
 
 SETTINGS_VARIABLE = "POMELOBARROW_SETTINGS"
-# The platform names no port for metrics, and the deploy file needs one that is known beforehand.
-# This is the one that the Prometheus project lists for exporters.
+# The platform assigns no port for metrics, and the deploy file needs one that is known beforehand.
+# This one is on the Prometheus project's list of exporter ports.
 METRICS_PORT = 9464
 PEER_KEY_ID = "platform"
 
-_REMEDY = "lay the settings file that the platform's pages describe"
+_REMEDY = "provide the settings file that the platform's documentation describes"
 
 
 def load_settings(path: str | Path | None = None) -> Result[Settings, tuple[Fault, ...]]:
-    """Read the file named, else the one that the environment names."""
+    """Read the given file, else the one that the environment names."""
     named = path or os.environ.get(SETTINGS_VARIABLE)
     if not named:
         seen = f"no {SETTINGS_VARIABLE}"
@@ -41,7 +41,7 @@
 
 
 def translate_settings(decoded: Any) -> Result[Settings, tuple[Fault, ...]]:
-    """Translate a decoded file; fields that the product has no use for are left aside."""
+    """Translate a decoded file; fields that the product doesn't use are ignored."""
     try:
         return Ok(_settings(decoded))
     except (KeyError, IndexError, TypeError, ValueError) as error:
@@ -56,7 +56,7 @@
         vm=str(decoded["Node"]),
         region=str(decoded["Region"]),
         failure_domain=str(decoded["Zone"]),
-        # Members tell each other the address that the directory gives to clients.
+        # Members advertise the address that the directory returns to clients.
         callers=CallerSettings(listen=f"{ip}:{METRICS_PORT}", advertise=listen["Front"]),
         peers=PeerSettings(
             listen=listen["Control"],
@@ -72,7 +72,7 @@
             hop_listen=f"{ip}:{int(decoded['InternalPorts'][0])}",
             region_by_failure_domain=dict(decoded["Zones"]),
             stop_timeout_s=float(bounds["GraceS"]),
-            max_entry_age_s=float(bounds["ttl_max_s"]),
+            max_directory_ttl_s=float(bounds["ttl_max_s"]),
             retry_bound=RetryBound(
                 ratio=float(bounds["BudgetRatio"]),
                 slack=float(bounds["BudgetSlack"]),
@@ -83,9 +83,9 @@
 
 
 def _peer_key(store_address: str) -> PeerKey:
-    """Return the key of all daemons before one store.
+    """Return the key that all daemons of one store share.
 
-    The platform hands out no secret and lets nobody else into its network, so this keeps no one
-    out; it keeps the daemons of two deployments from taking each other for peers.
+    The platform provides no secret and admits nobody else to its network, so this key protects
+    against no attacker; it keeps the daemons of two deployments from accepting each other as peers.
     """
     return PeerKey(id=PEER_KEY_ID, secret=f"deployment-at-{store_address}")
--- a/src/pomelobarrow/platform/store.py
+++ b/src/pomelobarrow/platform/store.py
@@ -19,32 +19,32 @@
 WATCH_PATH = "/kv-watch"
 HISTORY_GONE_STATUS = 410
 MS_PER_S = 1_000.0
-# The store answers in milliseconds; this much later, a slow store is told from a lost answer.
+# The store answers within milliseconds; after this time, an answer counts as lost.
 ANSWER_TIMEOUT_S = 1.5
 CONNECT_TIMEOUT_S = 1.0
-# A thousand pages are far more than any keyspace has; past that the listing doesn't end.
+# A thousand pages are far more than any keyspace has; the limit stops an endless listing.
 MAX_PAGES = 1_000
 
-# What decoding another writer's bytes and reading fields of any type can raise.
-UNREADABLE = (ArithmeticError, AttributeError, LookupError, TypeError, ValueError)
+# Errors raised by decoding another writer's bytes and by reading fields of unexpected types.
+DECODE_ERRORS = (ArithmeticError, AttributeError, LookupError, TypeError, ValueError)
 
 log = structlog.get_logger(__name__)
 
 
 @frozen(kw_only=True)
 class KeyspaceSource:
-    """Say where a keyspace lies in the store and how its items translate."""
+    """Describe where the store holds a keyspace and how its items are translated."""
 
     prefix: str
     key_of: Callable[[str], str | None]
     value_of: Callable[[str, Any], Any]
-    # Stands for an item that can't be read; None where the value before it goes on.
-    unreadable: Any | None = None
+    # Replaces an item that can't be decoded; None if the item's previous value is to stay.
+    value_if_unreadable: Any | None = None
 
 
 @define(kw_only=True)
 class Store:
-    """Hold the session to the store and the keyspaces read from it."""
+    """Read keyspaces from the store's addresses over one HTTP session."""
 
     addresses: Sequence[str]
     sources: Mapping[str, KeyspaceSource]
@@ -52,14 +52,14 @@
     _session: aiohttp.ClientSession | None = field(default=None, init=False)
 
     def reader(self) -> StoreReader:
-        """Return the functions that the watch reads with."""
+        """Return the functions with which the watcher reads the store."""
         return StoreReader(read_all=self.read_all, read_changes=self.read_changes, close=self.close)
 
     async def read_all(self, keyspace: str) -> Result[Page, ReadError]:
         """Return all items as of the first page's revision.
 
-        Pages are no snapshot. What changed after the first page is left out here and comes with
-        the watch that goes on from that page's revision.
+        The pages are not one snapshot. Changes after the first page are left out here and arrive
+        through the watch, which continues from that page's revision.
         """
         source = self.sources[keyspace]
         changes: list[Change] = []
@@ -77,15 +77,15 @@
                 if not page["HasMore"] or not items:
                     break
                 last_key = _last_key(items)
-            except (*UNREADABLE, StopIteration) as error:
+            except (*DECODE_ERRORS, StopIteration) as error:
                 return Err(ReadError(failure=ReadFailure.MALFORMED, detail=repr(error)))
-        settled = tuple(change for change in changes if change.revision <= head_revision)
-        return Ok(Page(changes=settled, head_revision=head_revision))
+        listed = tuple(change for change in changes if change.revision <= head_revision)
+        return Ok(Page(changes=listed, head_revision=head_revision))
 
     async def read_changes(
         self, keyspace: str, after_revision: int, until_unix_s: float
     ) -> Result[Page, ReadError]:
-        """Return the changes after a revision, waiting for one until the time given."""
+        """Return the changes after a revision, waiting for one until the given time."""
         source = self.sources[keyspace]
         wait_s = max(0.0, until_unix_s - now_unix_s())
         params = {
@@ -100,7 +100,7 @@
             events = answer.ok_value["events"]
             changes = tuple(each for item in events if (each := _change(source, item)) is not None)
             head = int(answer.ok_value["StoreRevision"])
-        except UNREADABLE as error:
+        except DECODE_ERRORS as error:
             return Err(ReadError(failure=ReadFailure.MALFORMED, detail=repr(error)))
         return Ok(Page(changes=changes, head_revision=head))
 
@@ -112,7 +112,7 @@
     async def _call(
         self, path: str, params: Mapping[str, str], timeout_s: float
     ) -> Result[dict[str, Any], ReadError]:
-        """Ask the addresses in turn until one answers."""
+        """Call the addresses in random order until one answers."""
         result: Result[dict[str, Any], ReadError] = Err(ReadError(failure=ReadFailure.UNREACHABLE))
         for address in self._random.sample(self.addresses, len(self.addresses)):
             result = await self._call_one(f"{address}{path}", params, timeout_s)
@@ -125,7 +125,7 @@
     async def _call_one(
         self, url: str, params: Mapping[str, str], timeout_s: float
     ) -> Result[dict[str, Any], ReadError]:
-        # A connection on which an answer was lost stays silent for good, so that none is kept.
+        # A connection on which an answer was lost stays silent for good, so none is reused.
         if self._session is None:
             connector = aiohttp.TCPConnector(force_close=True)
             self._session = aiohttp.ClientSession(connector=connector)
@@ -146,7 +146,7 @@
 
 
 def _last_key(items: Sequence[Any]) -> str:
-    """Return the key that the next page begins after; another writer's item may have none."""
+    """Return the key after which the next page begins; another writer's item may have none."""
     return next(item["Key"] for item in reversed(items) if _is_keyed(item))
 
 
@@ -159,7 +159,7 @@
 
 def _change(source: KeyspaceSource, item: Any) -> Change | None:
     if not _is_keyed(item):
-        log.warning("item left out", error="it has no key or no revision", item=repr(item)[:200])
+        log.warning("item ignored", error="it has no key or no revision", item=repr(item)[:200])
         return None
     stored_key, revision = item["Key"], item["Revision"]
     key = source.key_of(stored_key)
@@ -170,8 +170,8 @@
     try:
         decoded = orjson.loads(base64.b64decode(item["Value"], validate=True))
         value = source.value_of(stored_key, decoded)
-    except UNREADABLE as error:
-        # One unreadable item must not keep all others from being read.
-        log.warning("item can't be read", key=stored_key, revision=revision, error=repr(error))
-        value = source.unreadable
+    except DECODE_ERRORS as error:
+        # One undecodable item must not prevent all others from being read.
+        log.warning("item can't be decoded", key=stored_key, revision=revision, error=repr(error))
+        value = source.value_if_unreadable
     return None if value is None else Change(revision=revision, key=key, value=value)
--- a/src/pomelobarrow/platform/wire.py
+++ b/src/pomelobarrow/platform/wire.py
@@ -1,4 +1,4 @@
-"""Translate the headers of requests and answers, and the calls that clients make beside them."""
+"""Translate the headers of requests and answers, and the clients' readiness and directory calls."""
 
 import re
 from collections.abc import Mapping, Sequence
@@ -23,31 +23,31 @@
 DIRECTORY_PATH = "/resolution"
 
 REQUEST_ID = "Pomelobarrow-Request-Id"
-# How many milliseconds the sender will still wait.
+# The milliseconds for which the sender still waits.
 TIME_LEFT = "Pomelobarrow-Request-Deadline"
 MODEL = "Pomelobarrow-Model"
-# Tokens of the prompt, then the most tokens of the answer.
+# The number of prompt tokens, then the maximum number of answer tokens.
 TOKEN_COUNTS = "Pomelobarrow-Token-Count"
-# The prompt's parts in order, each as hexadecimal id and tokens.
+# The prompt's parts in order, each as hexadecimal id and token count.
 PROMPT_PARTS = "Pomelobarrow-Prompt-Prefix"
 LAST_EVENT_ID = "Last-Event-Id"
 TARGET_SERVER = "Pomelobarrow-Target-Instance"
 PRIORITY = "Pomelobarrow-Request-Priority"
-SEAL = "Pomelobarrow-Response-Seal"
-NOT_RUN = "Pomelobarrow-Not-Executed"
-# Requests that run, requests that wait, slots.
+RESPONSE_SEAL = "Pomelobarrow-Response-Seal"
+NOT_EXECUTED = "Pomelobarrow-Not-Executed"
+# The number of running requests, of waiting requests and of slots.
 SERVER_LOAD = "Pomelobarrow-Server-Load"
 
-# Requests a second that the server takes from all machines together. It is written without the
-# prefix where it is described, but no message that was seen shows it.
+# The requests a second that the server accepts from all machines together. The platform documents
+# the name without the prefix; no message that was seen confirms this, so both names are accepted.
 SERVER_LIMITS = ("Server-Limit", "Pomelobarrow-Server-Limit")
 
 WRONG_SERVER_STATUS = 421
 MAX_PRIORITY = 9
 MS_PER_S = 1_000.0
 
-# For the system alone to set. A client could reserve or pin memory with them, or take over what
-# another request left in a server's memory.
+# Headers that only the system may set. With them a client could reserve or pin a server's memory,
+# or take over what another request left in it.
 SYSTEM_HEADERS = frozenset(
     name.lower()
     for name in (
@@ -75,7 +75,7 @@
         "upgrade",
     }
 )
-# Peers mark with these what they say to each other.
+# The prefix of headers that peers send to each other.
 PEER_PREFIX = "pomelobarrow-peer-"
 
 _EVENT_ID_PATTERN = re.compile(rb"^id:[ ]?([^\r\n]*)", re.MULTILINE)
@@ -97,7 +97,7 @@
 
 
 def read_request(headers: Mapping[str, str]) -> Result[RequestHead, str]:
-    """Read a client's headers; the error says what is wrong with them."""
+    """Parse a client's headers; the error says what is wrong with them."""
     request_id = headers.get(REQUEST_ID, "")
     if not request_id:
         return Err(f"{REQUEST_ID} is missing")
@@ -107,7 +107,7 @@
         return Ok(
             RequestHead(
                 request_id=request_id,
-                headers=_going_on(headers),
+                headers=_end_to_end_headers(headers),
                 time_limit_s=float(time_left_ms) / MS_PER_S if time_left_ms else None,
                 model=headers.get(MODEL),
                 prompt_tokens=int(prompt_tokens),
@@ -117,33 +117,35 @@
             )
         )
     except ValueError as error:
-        return Err(f"a header's number can't be read: {error}")
+        return Err(f"a header's number is malformed: {error}")
 
 
-def server_headers(request: RelayRequest, order: ServerCallOptions) -> Headers:
+def server_headers(request: RelayRequest, options: ServerCallOptions) -> Headers:
     """Return the headers for a backend server."""
-    addressed = (
-        (TARGET_SERVER, order.server),
+    routing_headers = (
+        (TARGET_SERVER, options.server),
         (PRIORITY, str(min(MAX_PRIORITY, request.route.urgency))),
     )
-    return _passed_on(request, order.deadline_unix_s, order.resume_after) + addressed
+    return (
+        _forwarded_headers(request, options.deadline_unix_s, options.resume_after) + routing_headers
+    )
 
 
 def peer_headers(request: RelayRequest, resume_after: str) -> Headers:
     """Return the headers for a peer."""
-    return _passed_on(request, request.work.deadline_unix_s, resume_after)
+    return _forwarded_headers(request, request.work.deadline_unix_s, resume_after)
 
 
 def read_answer(response: ClientResponse) -> ServerAnswerHead:
-    """Read the head of a backend server's answer."""
+    """Parse the head of a backend server's answer."""
     headers = response.headers
     limit_header = _limit_header(headers)
     return ServerAnswerHead(
         status=response.status,
-        headers=_going_on(headers),
+        headers=_end_to_end_headers(headers),
         request_id=headers.get(REQUEST_ID, ""),
-        is_sealed=SEAL in headers,
-        is_not_run=NOT_RUN in headers or response.status == WRONG_SERVER_STATUS,
+        is_sealed=RESPONSE_SEAL in headers,
+        is_not_run=NOT_EXECUTED in headers or response.status == WRONG_SERVER_STATUS,
         counts=_server_counts(headers.get(SERVER_LOAD, "")),
         limit_per_s=parse_limit(headers.get(limit_header, "")),
         limit_header=limit_header,
@@ -151,7 +153,7 @@
 
 
 def read_directory_query(query: Mapping[str, str]) -> DirectoryQuery:
-    """Read what a client asks the directory."""
+    """Parse a client's directory query."""
     return DirectoryQuery(
         host=query.get("Name", ""),
         region=query.get("Region", ""),
@@ -159,9 +161,9 @@
     )
 
 
-def directory_answer(addresses: Sequence[str], good_for_s: float) -> bytes:
+def directory_answer(addresses: Sequence[str], ttl_s: float) -> bytes:
     """Return the body of the directory's answer."""
-    return orjson.dumps({"Addresses": list(addresses), "TtlS": good_for_s})
+    return orjson.dumps({"Addresses": list(addresses), "TtlS": ttl_s})
 
 
 def event_id(event: bytes) -> str:
@@ -170,29 +172,31 @@
     return match[1].decode("latin-1") if match else ""
 
 
-def _passed_on(request: RelayRequest, deadline_unix_s: float, resume_after: str) -> Headers:
-    """Return the client's headers with the time that is left and where to resume."""
-    replacing = [("Host", request.host), (TIME_LEFT, _time_left_ms(deadline_unix_s))]
+def _forwarded_headers(request: RelayRequest, deadline_unix_s: float, resume_after: str) -> Headers:
+    """Return the client's headers with the remaining time and the event to resume after."""
+    replacements = [("Host", request.host), (TIME_LEFT, _time_left_ms(deadline_unix_s))]
     if resume_after:
-        replacing.append((LAST_EVENT_ID, resume_after))
-    names = {name.lower() for name, _ in replacing}
+        replacements.append((LAST_EVENT_ID, resume_after))
+    names = {name.lower() for name, _ in replacements}
     kept = tuple(each for each in request.head.headers if each[0].lower() not in names)
-    return kept + tuple(replacing)
+    return kept + tuple(replacements)
 
 
-def _going_on(headers: Mapping[str, str]) -> Headers:
-    """Return the headers that concern more than one connection and aren't the system's own."""
-    named = {each.strip().lower() for each in headers.get("Connection", "").split(",")}
-    return tuple((name, value) for name, value in headers.items() if _goes_on(name, named))
+def _end_to_end_headers(headers: Mapping[str, str]) -> Headers:
+    """Return the headers that are neither hop-by-hop nor set by the system or by peers."""
+    connection_options = {each.strip().lower() for each in headers.get("Connection", "").split(",")}
+    return tuple(
+        (name, value) for name, value in headers.items() if _is_end_to_end(name, connection_options)
+    )
 
 
-def _goes_on(name: str, named_by_connection: set[str]) -> bool:
+def _is_end_to_end(name: str, connection_options: set[str]) -> bool:
     lower = name.lower()
-    is_private = lower in SYSTEM_HEADERS or lower in CONNECTION_HEADERS
-    return not is_private and lower not in named_by_connection and not _is_peers(lower)
+    is_excluded = lower in SYSTEM_HEADERS or lower in CONNECTION_HEADERS
+    return not is_excluded and lower not in connection_options and not _is_peer_header(lower)
 
 
-def _is_peers(lower_name: str) -> bool:
+def _is_peer_header(lower_name: str) -> bool:
     return lower_name.startswith(PEER_PREFIX)
 
 
@@ -201,12 +205,12 @@
 
 
 def _limit_header(headers: Mapping[str, str]) -> str:
-    """Return the name under which a server names its limit, empty where it names none."""
+    """Return the name of the header that states a server's limit, empty if there is none."""
     return next((name for name in SERVER_LIMITS if name in headers), "")
 
 
 def _server_counts(text: str) -> ServerCounts | None:
-    """Return what a server tells of its load; None for what can't be read, as servers may err."""
+    """Parse a server's load header; return None if it is malformed, since servers may err."""
     fields = [field.strip() for field in text.split(",")]
     if len(fields) < 2 or not all(field.isdecimal() for field in fields[:2]):
         return None
--- a/src/pomelobarrow/published/__init__.py
+++ b/src/pomelobarrow/published/__init__.py
@@ -1,1 +1,1 @@
-"""What the platform publishes, as this daemon holds it, and the watch that keeps it fresh."""
+"""Local copies of the keyspaces that the platform publishes, and the watcher that updates them."""
--- a/src/pomelobarrow/published/events.py
+++ b/src/pomelobarrow/published/events.py
@@ -1,4 +1,4 @@
-"""Events about what the platform published."""
+"""Events that report applied and refused revisions and the platform's reachability."""
 
 from attrs import frozen
 
@@ -15,7 +15,7 @@
 
 @frozen
 class KeyspaceRefused:
-    """Report that a revision was refused and the last good one stays."""
+    """Report that a revision was refused and the last valid one stays in force."""
 
     keyspace: str
     revision: int
@@ -31,4 +31,4 @@
 
 @frozen
 class PlatformReachable:
-    """Report that the platform answers again."""
+    """Report that reads of the platform succeed again."""
--- a/src/pomelobarrow/published/keyspaces.py
+++ b/src/pomelobarrow/published/keyspaces.py
@@ -1,4 +1,4 @@
-"""The daemon's copies of the published keyspaces and what follows from them."""
+"""The daemon's copies of the published keyspaces and the values parsed from them."""
 
 from collections.abc import Callable, Mapping, Sequence
 from typing import Any
@@ -17,8 +17,8 @@
 
 CONFIG = "config"
 VMS = "vms"
-# Names a change that came of no news but of time that passed.
-SOURCE_LAPSE = "lapsed leases"
+# The source of a change that no update caused: leases expired and weren't renewed in time.
+SOURCE_LEASE_EXPIRY = "lapsed leases"
 
 log = structlog.get_logger(__name__)
 
@@ -27,7 +27,7 @@
 
 @define(kw_only=True)
 class PublishedState:
-    """Hold both keyspaces; tell listeners (keyspace, source) when one moves."""
+    """Keep the copies of both keyspaces; notify listeners (keyspace, source) of each change."""
 
     observe: Callable[[object], None]
     checker: ConfigurationChecker = field(factory=ConfigurationChecker)
@@ -35,7 +35,7 @@
     configuration: Configuration | None = None
     listeners: list[AppliedListener] = field(factory=list)
 
-    _checked: Configuration | None = field(default=None, init=False)
+    _checked_configuration: Configuration | None = field(default=None, init=False)
     _vms: VmList = field(factory=VmList, init=False)
 
     def __attrs_post_init__(self) -> None:
@@ -56,18 +56,18 @@
 
     @property
     def is_read(self) -> bool:
-        """Say whether each keyspace has been read, here or by a peer."""
+        """Return whether a revision of each keyspace was received, from the platform or a peer."""
         return all(copy.observed_revision for copy in self.copies.values())
 
     @property
-    def next_lapse_unix_s(self) -> float | None:
-        """Return when the next lapsed lease is given up, None where all leases are held."""
-        return self._vms.next_lapse_unix_s
+    def next_expiry_unix_s(self) -> float | None:
+        """Return when the next server with an expired lease is removed, None if there is none."""
+        return self._vms.next_expiry_unix_s
 
-    def drop_lapsed(self) -> None:
-        """Give up the servers whose lapsed leases weren't renewed in time."""
-        if self._vms.drop_lapsed(now_unix_s()):
-            self._tell(VMS, SOURCE_LAPSE)
+    def remove_expired(self) -> None:
+        """Remove the servers whose expired leases weren't renewed within the grace period."""
+        if self._vms.remove_expired(now_unix_s()):
+            self._notify_listeners(VMS, SOURCE_LEASE_EXPIRY)
 
     def apply(
         self,
@@ -79,7 +79,7 @@
         source: str,
         complete: bool = True,
     ) -> ApplyResult:
-        """Observe changes from a source and put them in force where they are whole and valid."""
+        """Record changes from a source and put them in force if they are complete and valid."""
         copy = self.copies[name]
         result = copy.apply(
             changes, head_revision, after_revision=after_revision, complete=complete
@@ -91,7 +91,7 @@
         return result
 
     def apply_in_force(self, delta: Delta, source: str) -> ApplyResult:
-        """Put a peer's values in force while a later revision stays refused here."""
+        """Put a peer's values in force while this VM refuses a later revision."""
         result = self.copies[delta.name].apply_in_force(delta)
         if result.applied:
             self._put_in_force(delta.name, source)
@@ -103,20 +103,20 @@
         checked = self.checker.check(values, revision)
         if isinstance(checked, Err):
             return tuple(str(fault) for fault in checked.err_value)
-        self._checked = checked.ok_value
+        self._checked_configuration = checked.ok_value
         return ()
 
     def _put_in_force(self, name: str, source: str) -> None:
         copy = self.copies[name]
         if name == CONFIG:
-            self.configuration = self._checked
+            self.configuration = self._checked_configuration
         else:
             self._vms.update(copy.values, now_unix_s())
         log.info("in force", keyspace=name, revision=copy.revision, source=source)
         self.observe(KeyspaceApplied(name, copy.revision, now_unix_s(), source))
-        self._tell(name, source)
+        self._notify_listeners(name, source)
 
-    def _tell(self, name: str, source: str) -> None:
+    def _notify_listeners(self, name: str, source: str) -> None:
         for listener in self.listeners:
             listener(name, source)
 
--- a/src/pomelobarrow/published/plugin.py
+++ b/src/pomelobarrow/published/plugin.py
@@ -1,4 +1,4 @@
-"""The plug-in of what is published: keyspaces and their watcher."""
+"""The plug-in for the published keyspaces and their watcher."""
 
 import asyncio
 
@@ -11,31 +11,31 @@
 from pomelobarrow.published.store_reader import StoreReader
 from pomelobarrow.published.watcher import PlatformWatcher
 
-# Leases that lapse together are given up together.
-LAPSE_SWEEP_EVERY_S = 0.25
+# Servers whose grace periods end within one interval are removed in one update.
+SWEEP_INTERVAL_S = 0.25
 
 
-class LapseSweeper(Service):
-    """Give up servers whose lapsed leases aren't renewed in time."""
+class ExpiredLeaseSweeper(Service):
+    """Remove servers whose expired leases aren't renewed within the grace period."""
 
     def __init__(self, published: PublishedState) -> None:
         super().__init__()
         self._published = published
-        self._has_lapsed = asyncio.Event()
-        published.listeners.append(self._note_applied)
+        self._has_expired = asyncio.Event()
+        published.listeners.append(self._on_applied)
 
-    def _note_applied(self, name: str, source: str) -> None:
-        if self._published.next_lapse_unix_s is not None:
-            self._has_lapsed.set()
+    def _on_applied(self, name: str, source: str) -> None:
+        if self._published.next_expiry_unix_s is not None:
+            self._has_expired.set()
 
     @Service.task
     async def _sweep(self) -> None:
         while not self.should_stop:
-            await self._has_lapsed.wait()
-            await asyncio.sleep(LAPSE_SWEEP_EVERY_S)
-            self._published.drop_lapsed()
-            if self._published.next_lapse_unix_s is None:
-                self._has_lapsed.clear()
+            await self._has_expired.wait()
+            await asyncio.sleep(SWEEP_INTERVAL_S)
+            self._published.remove_expired()
+            if self._published.next_expiry_unix_s is None:
+                self._has_expired.clear()
 
 
 @hookimpl
@@ -47,16 +47,16 @@
 
 @hookimpl
 def services(context: Context) -> list[PhasedService]:
-    """Watch the platform."""
+    """Return the platform watcher and the sweeper of expired leases."""
     return [
         PhasedService(StartPhase.PLATFORM, context.get(PlatformWatcher)),
-        PhasedService(StartPhase.PLATFORM, LapseSweeper(context.get(PublishedState))),
+        PhasedService(StartPhase.PLATFORM, ExpiredLeaseSweeper(context.get(PublishedState))),
     ]
 
 
 @hookimpl
 def not_ready_reason(context: Context) -> str | None:
-    """Say that no configuration is in force yet."""
+    """Return the keyspace that has no revision in force yet, None if each has one."""
     published = context.get(PublishedState)
     missing = [name for name, copy in published.copies.items() if not copy.revision]
     return f"no {missing[0]} in force yet" if missing else None
@@ -64,7 +64,7 @@
 
 @hookimpl
 def status(context: Context) -> StatusSection:
-    """Say which revisions are in force."""
+    """Return the revisions in force and observed, by keyspace."""
     copies = context.get(PublishedState).copies
     values = {
         name: {
@@ -83,5 +83,5 @@
     watcher = PlatformWatcher(
         context, context.get(PublishedState), context.get(StoreReader), table.is_watcher
     )
-    table.review_listeners.append(watcher.note_role)
+    table.review_listeners.append(watcher.on_role_review)
     return watcher
--- a/src/pomelobarrow/published/store_reader.py
+++ b/src/pomelobarrow/published/store_reader.py
@@ -1,4 +1,4 @@
-"""What a reader of the platform's store gives the watch."""
+"""The interface through which the watcher reads the platform's store."""
 
 import enum
 from collections.abc import Awaitable, Callable
@@ -10,7 +10,7 @@
 
 
 class ReadFailure(enum.Enum):
-    """Say why a read brought nothing."""
+    """Enumerate why a read of the store failed."""
 
     UNREACHABLE = "the store did not answer"
     REFUSED = "the store refused the call"
@@ -20,7 +20,7 @@
 
 @frozen(kw_only=True)
 class ReadError:
-    """Hold a failure with what was seen."""
+    """Report why a read failed, with details."""
 
     failure: ReadFailure
     detail: str = ""
@@ -28,21 +28,21 @@
 
 @frozen(kw_only=True)
 class Page:
-    """Hold the changes of a keyspace up to a head revision."""
+    """Carry the changes of a keyspace up to a head revision."""
 
     changes: tuple[Change, ...]
     head_revision: int
 
 
-# Reads a keyspace whole.
+# Lists all items of a keyspace.
 ListReader = Callable[[str], Awaitable[Result[Page, ReadError]]]
-# Waits for changes of a keyspace after a revision, until a time at most.
+# Waits for changes of a keyspace after a revision, until a deadline in Unix seconds.
 ChangeReader = Callable[[str, int, float], Awaitable[Result[Page, ReadError]]]
 
 
 @frozen(kw_only=True)
 class StoreReader:
-    """Hold the functions that read the platform's store."""
+    """Bundle the functions that read the platform's store."""
 
     read_all: ListReader
     read_changes: ChangeReader
--- a/src/pomelobarrow/published/vms.py
+++ b/src/pomelobarrow/published/vms.py
@@ -1,4 +1,4 @@
-"""The platform's list of VMs as checked values."""
+"""Check and parse the platform's list of VMs."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -10,7 +10,7 @@
 KEY_PREFIX = "vms/"
 ROLE_ENTRY = "entry"
 ROLE_BACKEND_SERVER = "backend_server"
-# An entry that nobody here can read: it names no VM, and what it replaces doesn't count any more.
+# An entry that can't be decoded: it lists no VM, and the VM that its key listed before is removed.
 ROLE_UNUSABLE = "unusable"
 STATE_LEAVING = "leaving"
 REQUIRED_FIELDS = {
@@ -19,9 +19,9 @@
     ROLE_UNUSABLE: (),
 }
 DEFAULT_KV_CAPACITY_TOKENS = 1 << 17
-# Servers register again within two seconds of the return of the list's keeper; one that is not
-# back by then is gone.
-LAPSED_KEPT_S = 2.0
+# Servers register again within two seconds of the end of a store outage; one that hasn't by then
+# is gone.
+LEASE_GRACE_S = 2.0
 
 
 @frozen(kw_only=True)
@@ -44,69 +44,69 @@
 
 
 @frozen
-class _Lapsed:
+class _ExpiredLease:
     server: BackendServer
     until_unix_s: float
 
 
 @define
 class VmList:
-    """Hold the entry VMs and backend servers that the platform lists.
+    """Keep the entry VMs and backend servers that the platform lists.
 
-    Durations in the values count from when a VM first sees them, so a value that didn't change is
-    not read again.
+    Durations in a value count from the time at which this VM first receives it, so an unchanged
+    value is not parsed again.
     """
 
     entries: Mapping[str, EntryVm] = field(factory=dict, init=False)
     servers: Mapping[str, BackendServer] = field(factory=dict, init=False)
     _values: dict[str, Any] = field(factory=dict, init=False, repr=False)
     _parsed: dict[str, EntryVm | BackendServer | None] = field(factory=dict, init=False, repr=False)
-    _lapsed: dict[str, _Lapsed] = field(factory=dict, init=False, repr=False)
+    _expired: dict[str, _ExpiredLease] = field(factory=dict, init=False, repr=False)
 
     def update(self, values: Mapping[str, Any], now_unix_s: float) -> None:
-        """Take over a checked list."""
+        """Replace the list by a checked one."""
         for key in self._parsed.keys() - values.keys():
-            self._note_gone(key, now_unix_s)
+            self._note_removed(key, now_unix_s)
             del self._parsed[key], self._values[key]
         for key, value in values.items():
             if self._values.get(key) is not value:
                 self._values[key] = value
                 self._parsed[key] = _parse(key, value, now_unix_s)
-                self._lapsed.pop(key, None)
+                self._expired.pop(key, None)
         self._rebuild()
 
     @property
-    def next_lapse_unix_s(self) -> float | None:
-        """Return when the next lapsed lease is given up, None where all leases are held."""
-        return min((lapsed.until_unix_s for lapsed in self._lapsed.values()), default=None)
-
-    def drop_lapsed(self, now_unix_s: float) -> bool:
-        """Give up servers whose lapsed leases weren't renewed in time; say if there were any."""
-        late = [key for key, lapsed in self._lapsed.items() if lapsed.until_unix_s <= now_unix_s]
-        for key in late:
-            del self._lapsed[key]
-        if late:
+    def next_expiry_unix_s(self) -> float | None:
+        """Return when the next server with an expired lease is removed, None if there is none."""
+        return min((expired.until_unix_s for expired in self._expired.values()), default=None)
+
+    def remove_expired(self, now_unix_s: float) -> bool:
+        """Remove the servers whose grace period has ended; return whether there were any."""
+        due = [key for key, expired in self._expired.items() if expired.until_unix_s <= now_unix_s]
+        for key in due:
+            del self._expired[key]
+        if due:
             self._rebuild()
-        return bool(late)
+        return bool(due)
 
-    def _note_gone(self, key: str, now_unix_s: float) -> None:
-        """Keep a server for a while whose lease lapsed.
+    def _note_removed(self, key: str, now_unix_s: float) -> None:
+        """Keep a server for a grace period after its lease expired.
 
-        Leases also lapse while the list's keeper is away. Dropped at once, all servers of a pool
-        would be gone on its return, and every request refused until they have registered again.
+        Leases also expire while the store is down. If servers were removed at once, a pool would
+        be empty after the outage, and every request refused until its servers register again.
         """
         server = self._parsed[key]
         if not isinstance(server, BackendServer) or server.leaving:
             return
         if self._values[key].get("leased"):
-            until_unix_s = now_unix_s + LAPSED_KEPT_S
-            self._lapsed[key] = _Lapsed(evolve(server, is_lease_expired=True), until_unix_s)
+            until_unix_s = now_unix_s + LEASE_GRACE_S
+            self._expired[key] = _ExpiredLease(evolve(server, is_lease_expired=True), until_unix_s)
 
     def _rebuild(self) -> None:
         parsed = self._parsed.values()
         self.entries = {vm.name: vm for vm in parsed if isinstance(vm, EntryVm)}
         servers = [each for each in parsed if isinstance(each, BackendServer)]
-        servers += [lapsed.server for lapsed in self._lapsed.values()]
+        servers += [expired.server for expired in self._expired.values()]
         self.servers = {server.name: server for server in servers}
 
 
--- a/tests/test_deploy_serve.py
+++ b/tests/test_deploy_serve.py
@@ -6,7 +6,7 @@
 
 PROGRAM = Path(__file__).parent.parent / "deploy" / "serve.py"
 # Runs the program up to its imports, whose place a module takes that sends the signal.
-FIRST_STEPS = """
+RUN_UNTIL_IMPORTS = """
 import os, runpy, signal, sys, types
 daemon = types.ModuleType("pomelobarrow.platform.daemon")
 class Importing:
@@ -25,5 +25,5 @@
     Its imports take half a second. Nobody handles the signal yet, so that it ended the process
     without a word, and the VM served nobody until it was started again.
     """
-    finished = subprocess.run([sys.executable, "-c", FIRST_STEPS, str(PROGRAM)], check=False)
+    finished = subprocess.run([sys.executable, "-c", RUN_UNTIL_IMPORTS, str(PROGRAM)], check=False)
     assert finished.returncode == 7
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -57,7 +57,7 @@
     [fault] = translate_settings(broken).err_value or ()
     assert str(fault) == (
         f"settings: found KeyError('{missing}'); "
-        "lay the settings file that the platform's pages describe"
+        "provide the settings file that the platform's documentation describes"
     )
 
 
--- a/tests/test_published_watcher.py
+++ b/tests/test_published_watcher.py
@@ -9,14 +9,14 @@
 from pomelobarrow.published.store_reader import Page, ReadError, ReadFailure, StoreReader
 from pomelobarrow.published.watcher import PlatformWatcher
 
-NOBODY_REACHED = ReadError(failure=ReadFailure.UNREACHABLE)
+STORE_UNREACHABLE = ReadError(failure=ReadFailure.UNREACHABLE)
 
 
 class Store:
     """Answer the first read and hold every later one until the connections are closed."""
 
     def __init__(self) -> None:
-        self.held = asyncio.Event()
+        self.poll_started = asyncio.Event()
         self.closed = asyncio.Event()
         self.calls_after_close = 0
 
@@ -26,12 +26,12 @@
     async def read_changes(
         self, name: str, after: int, until_unix_s: float
     ) -> Result[Page, ReadError]:
-        self.held.set()
+        self.poll_started.set()
         await self.closed.wait()
         # The call that was under way fails, and the next address is tried.
         await asyncio.sleep(0)
         self.calls_after_close += 1
-        return Err(NOBODY_REACHED)
+        return Err(STORE_UNREACHABLE)
 
     async def close(self) -> None:
         self.closed.set()
@@ -57,7 +57,7 @@
     )
     await watcher.start()
     async with asyncio.timeout(5):
-        await store.held.wait()
+        await store.poll_started.wait()
         await watcher.stop()
     assert store.closed.is_set()
     assert store.calls_after_close == 0
--- a/tests/test_vm_list.py
+++ b/tests/test_vm_list.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from pomelobarrow.published.vms import LAPSED_KEPT_S, VmList
+from pomelobarrow.published.vms import LEASE_GRACE_S, VmList
 
 VALUE: dict[str, Any] = {
     "role": "backend_server",
@@ -26,8 +26,8 @@
     vms.update({"vms/s1": VALUE}, 100.0)
     vms.update({}, 101.0)
     assert vms.servers["s1"].is_lease_expired
-    assert not vms.drop_lapsed(101.0 + LAPSED_KEPT_S / 2)
-    assert vms.drop_lapsed(101.0 + LAPSED_KEPT_S)
+    assert not vms.remove_expired(101.0 + LEASE_GRACE_S / 2)
+    assert vms.remove_expired(101.0 + LEASE_GRACE_S)
     assert vms.servers == {}
 
 
@@ -37,7 +37,7 @@
     vms.update({}, 101.0)
     vms.update({"vms/s1": dict(VALUE)}, 102.0)
     assert not vms.servers["s1"].is_lease_expired
-    assert not vms.drop_lapsed(200.0)
+    assert not vms.remove_expired(200.0)
 
 
 def test_leaving_server_that_is_gone_is_gone() -> None:
