--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures that several test files share."""
+"""Fixtures shared by several test files."""
 
 from collections.abc import AsyncIterator
 
@@ -12,13 +12,13 @@
 
 @pytest.fixture
 async def rondinella() -> AsyncIterator[Fleet]:
-    """Run Rondinella's whole deployment."""
+    """Run the complete Rondinella deployment."""
     async with Fleet(RONDINELLA) as fleet:
         yield fleet
 
 
 @pytest.fixture
 async def vasktoru() -> AsyncIterator[Fleet]:
-    """Run Vasktoru's whole deployment."""
+    """Run the complete Vasktoru deployment."""
     async with Fleet(VASKTORU) as fleet:
         yield fleet
--- a/tests/test_deploy_serve.py
+++ b/tests/test_deploy_serve.py
@@ -1,11 +1,11 @@
-"""The platform's program from its first step on."""
+"""The start of the program that the platform runs."""
 
 import subprocess
 import sys
 from pathlib import Path
 
 PROGRAM = Path(__file__).parent.parent / "deploy" / "serve.py"
-# Runs the program up to its imports, whose place a module takes that sends the signal.
+# Runs the program up to its imports, which an import hook replaces by sending SIGHUP.
 RUN_UNTIL_IMPORTS = """
 import os, runpy, signal, sys, types
 daemon = types.ModuleType("pomelobarrow.platform.daemon")
@@ -20,10 +20,10 @@
 
 
 def test_signal_during_the_imports_does_not_end_the_program() -> None:
-    """A daemon has just been started; the platform tells it of new settings.
+    """The platform sends SIGHUP for new settings to a daemon that has just been started.
 
-    Its imports take half a second. Nobody handles the signal yet, so that it ended the process
-    without a word, and the VM served nobody until it was started again.
+    The imports take half a second, during which the daemon has no handler yet. The signal would end
+    the process without a message, and the VM would serve nothing until it was restarted.
     """
     finished = subprocess.run([sys.executable, "-c", RUN_UNTIL_IMPORTS, str(PROGRAM)], check=False)
     assert finished.returncode == 7
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -1,4 +1,4 @@
-"""Entries that another writer put into the store name no server; all others hold."""
+"""Malformed entries of another writer in the store list no server and affect no other entry."""
 
 import base64
 import json
@@ -39,12 +39,12 @@
 )
 
 
-def coded(value: Any) -> str:
+def encoded(value: Any) -> str:
     return base64.b64encode(json.dumps(value).encode()).decode()
 
 
 def item(key: str, value: Any, revision: int = 5) -> dict[str, Any]:
-    return {"Key": key, "Revision": revision, "Value": coded(value)}
+    return {"Key": key, "Revision": revision, "Value": encoded(value)}
 
 
 def read(entry: Any) -> Any:
@@ -60,7 +60,7 @@
     return bool(listed.servers)
 
 
-def test_good_entry_names_a_server_with_its_start() -> None:
+def test_valid_entry_lists_a_server_with_its_start_time() -> None:
     value = read(ENTRY)
     assert is_server(value)
     assert value["born_unix_ms"] == 1_700_000_000_000
@@ -87,12 +87,12 @@
         ("born", 1.5),
     ],
 )
-def test_field_of_another_kind_names_no_server(name: str, value: Any) -> None:
+def test_field_with_an_invalid_value_lists_no_server(name: str, value: Any) -> None:
     assert read({**ENTRY, name: value}) == UNUSABLE
 
 
 @pytest.mark.parametrize("name", ["Service", "Address", "Zone", "Slots", "State"])
-def test_missing_field_names_no_server(name: str) -> None:
+def test_missing_field_lists_no_server(name: str) -> None:
     assert read({key: value for key, value in ENTRY.items() if key != name}) == UNUSABLE
 
 
@@ -129,21 +129,21 @@
 
 
 @given(JSON)
-def test_bad_configuration_leaves_the_last_one(value: Any) -> None:
-    """A change that isn't passed on leaves what was in force before it."""
+def test_malformed_configuration_leaves_the_last_one_in_force(value: Any) -> None:
+    """Without a change from the store client, the previous configuration stays in force."""
     assert _change(SOURCES[CONFIG], item("op/config", value)) is None
 
 
 @define(slots=False)
 class ForeignStore:
-    """Answer with raw items, one page after another."""
+    """Serve raw items, one page per call."""
 
     pages: list[list[Any]] = field(factory=list)
-    asked_after: list[str] = field(factory=list)
+    requested_after: list[str] = field(factory=list)
 
     async def list_items(self, request: web.Request) -> web.Response:
-        self.asked_after.append(request.query.get("after", ""))
-        number = len(self.asked_after) - 1
+        self.requested_after.append(request.query.get("after", ""))
+        number = len(self.requested_after) - 1
         has_more = number + 1 < len(self.pages)
         body = {"items": self.pages[number], "HasMore": has_more, "StoreRevision": 9}
         return web.json_response(body)
@@ -162,7 +162,7 @@
     return Store(addresses=(address,), sources=SOURCES), server
 
 
-FOREIGN = [
+MALFORMED_ITEMS = [
     {"Value": "no key"},
     "no item",
     {"Key": "servers/i-3", "Revision": "four"},
@@ -170,13 +170,13 @@
 ]
 
 
-async def test_listing_goes_on_over_items_without_key_or_revision() -> None:
-    """The store lists a good entry, four items of another writer and a further page.
+async def test_listing_skips_items_without_key_or_revision() -> None:
+    """The store lists a valid entry, four malformed items of another writer and another page.
 
-    Were the page given up for one item, no server at all would be known.
+    If one bad item made the whole page fail, no server at all would be listed.
     """
     foreign = ForeignStore(
-        pages=[[item("servers/i-1", ENTRY), *FOREIGN], [item("servers/i-9", ENTRY)]]
+        pages=[[item("servers/i-1", ENTRY), *MALFORMED_ITEMS], [item("servers/i-9", ENTRY)]]
     )
     store, server = await client(foreign)
     page = await store.read_all(VMS)
@@ -184,12 +184,12 @@
     await server.close()
     assert isinstance(page, Ok)
     assert [change.key for change in page.ok_value.changes] == ["vms/i-1", "vms/i-9"]
-    assert foreign.asked_after == ["", "servers/i-1"]
+    assert foreign.requested_after == ["", "servers/i-1"]
 
 
-async def test_watch_goes_on_over_items_that_cannot_be_read() -> None:
+async def test_watch_continues_after_undecodable_items() -> None:
     bad = {"Key": "servers/i-1", "Revision": 6, "Value": "%%%"}
-    foreign = ForeignStore(pages=[[*FOREIGN, bad, item("servers/i-2", ENTRY, revision=7)]])
+    foreign = ForeignStore(pages=[[*MALFORMED_ITEMS, bad, item("servers/i-2", ENTRY, revision=7)]])
     store, server = await client(foreign)
     page = await store.read_changes(VMS, 5, now_unix_s() + 1.0)
     await store.close()
--- a/tests/test_house_rules.py
+++ b/tests/test_house_rules.py
@@ -11,7 +11,7 @@
 DECISION = PACKAGE / "decision"
 GENERATED = re.compile(r"_(pb2|grpc)\.pyi?$")
 MAX_LINES = 400
-# Modules that read a clock, do I/O or speak a protocol; decisions get these things as arguments.
+# Modules that read a clock, do I/O or implement a protocol; decision/ gets such input as arguments.
 IMPURE_MODULES = {
     "aiohttp",
     "asyncio",
@@ -27,7 +27,7 @@
     "threading",
     "time",
 }
-PLATFORM_WORDS = re.compile(
+PLATFORM_NAMES = re.compile(
     "Request-Deadline|Target-Instance|Response-Seal|Not-Executed|Server-Load|Prompt-Prefix"
     "|StoreRevision|kv-watch|kv-range|HomeRegions|TimeoutMs|GoalMs|InternalPorts|ColdLeftMs"
 )
@@ -50,7 +50,7 @@
     return [ROOT / name for name in listed.stdout.decode().split("\0") if name]
 
 
-def test_decision_imports_no_other_room() -> None:
+def test_decision_imports_no_other_package() -> None:
     foreign = [
         f"{source.name} imports {module}"
         for source in DECISION.rglob("*.py")
@@ -81,19 +81,19 @@
     assert naming == {"operators/cli.py"}
 
 
-def test_only_the_adapter_names_what_is_on_the_platforms_wire() -> None:
-    """The platform's names are decoded once; elsewhere the project's own stand."""
+def test_only_the_adapter_names_the_platforms_headers_and_fields() -> None:
+    """The platform's names are translated in one place; other code uses the project's own names."""
     naming = {
         source.relative_to(PACKAGE).as_posix()
         for source in PACKAGE.rglob("*.py")
         if not {PACKAGE / "platform", PACKAGE / "standin"} & set(source.parents)
-        and PLATFORM_WORDS.search(source.read_text(encoding="utf-8"))
+        and PLATFORM_NAMES.search(source.read_text(encoding="utf-8"))
     }
     assert naming == set()
 
 
 def test_adapter_only_translates() -> None:
-    """Decisions and state that lasts belong to the product's own rooms."""
+    """Decisions and lasting state belong to the product's own packages."""
     deciding = [
         f"{source.name} imports {module}"
         for source in (PACKAGE / "platform").glob("*.py")
@@ -103,7 +103,7 @@
     assert deciding == []
 
 
-def test_files_stay_short() -> None:
+def test_files_are_short() -> None:
     lengths = {
         path.relative_to(ROOT).as_posix(): len(path.read_text(encoding="utf-8").splitlines())
         for path in tracked_files()
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -44,7 +44,7 @@
     return finished.returncode, finished.stderr + finished.stdout
 
 
-def test_listed_test_is_passed_over_and_printed(project: Path) -> None:
+def test_listed_test_is_deselected_and_printed(project: Path) -> None:
     assert run_ci_tests(project)[0] == pytest.ExitCode.TESTS_FAILED
     listed = "# first next time\n\ntest_x.py::test_named[a|b] | pytest x | late | issue 3\n"
     (project / "KNOWN-RED.txt").write_text(listed)
@@ -66,7 +66,9 @@
     ],
     ids=["prefix", "whole file", "no issue", "no number", "no command", "twice"],
 )
-def test_list_that_hides_more_is_refused(project: Path, listed: str, complaint: str) -> None:
+def test_list_that_would_hide_other_tests_is_refused(
+    project: Path, listed: str, complaint: str
+) -> None:
     (project / "KNOWN-RED.txt").write_text(listed)
     code, output = run_ci_tests(project)
     assert code == pytest.ExitCode.USAGE_ERROR
--- a/tests/test_platform_records.py
+++ b/tests/test_platform_records.py
@@ -1,4 +1,4 @@
-"""Store items become the product's keyspace values, the same at every reader."""
+"""Items of the platform's store become keyspace values that are equal at every reader."""
 
 from typing import Any
 
@@ -59,7 +59,7 @@
     return checked.ok_value.routing
 
 
-def test_server_entry_is_a_listed_backend_server() -> None:
+def test_server_entry_becomes_a_listed_backend_server() -> None:
     value = server_value()
     assert check_vms({"vms/i-1": value}, frozenset({"vms/i-1"}), 1) == ()
     assert (value["region"], value["pool"], value["state"]) == ("tallinn", "p1", "ready")
@@ -70,11 +70,11 @@
     assert server_value(State="draining", RemainingMs=2000)["state"] == "leaving"
 
 
-def test_count_of_heartbeats_is_no_news() -> None:
+def test_heartbeat_count_does_not_change_the_value() -> None:
     assert server_value(Sequence=5) == server_value()
 
 
-def test_route_keeps_what_it_allows() -> None:
+def test_route_fields_are_translated() -> None:
     [route] = routing(CONFIGURATION).routes
     assert (route.kind, route.max_attempts, route.urgency) == (RouteKind.STREAM, 2, 1)
     assert (route.timeout_s, route.first_answer_target_s, route.gap_target_s) == (4.0, 0.6, 0.4)
@@ -89,13 +89,13 @@
     assert route.pools == (PoolShare(pool="p1", weight=90.0), PoolShare(pool="p2", weight=10.0))
 
 
-def test_pool_keeps_what_its_cold_servers_bear() -> None:
+def test_pool_fields_are_translated() -> None:
     pools = routing(CONFIGURATION).pool_by_name
     assert (pools["p1"].cold_requests_per_s, pools["p1"].kv_capacity_tokens) == (9.7, 419_295)
     assert pools["p2"].cold_requests_per_s == 0.0
 
 
-def test_evacuation_closes_its_failure_domain() -> None:
+def test_evacuation_entry_evacuates_its_failure_domain() -> None:
     source = SOURCES[CONFIG]
     keys = ("op/config", "op/evacuate/hall-a")
     items = {"op/config": CONFIGURATION, "op/evacuate/hall-a": {}}
@@ -105,12 +105,12 @@
     assert checked.ok_value.evacuated_domains == {"hall-a"}
 
 
-def test_key_of_nobody_here_is_left_aside() -> None:
+def test_unknown_operator_key_is_ignored() -> None:
     assert SOURCES[CONFIG].key_of("op/other") is None
 
 
 @pytest.mark.parametrize("missing", ["Version", "Routes", "Services"])
-def test_unreadable_configuration_raises_what_the_store_client_logs(missing: str) -> None:
+def test_incomplete_configuration_raises_an_error_that_the_store_client_logs(missing: str) -> None:
     broken = {name: value for name, value in CONFIGURATION.items() if name != missing}
     with pytest.raises(KeyError, match=missing):
         SOURCES[CONFIG].value_of("op/config", broken)
--- a/tests/test_platform_settings.py
+++ b/tests/test_platform_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file becomes the product's settings, or says what is wrong."""
+"""The platform's settings file is translated into settings or into faults with remedies."""
 
 from pathlib import Path
 from typing import Any
@@ -34,7 +34,7 @@
 }
 
 
-def test_addresses_are_taken_over() -> None:
+def test_addresses_are_translated() -> None:
     settings = translate_settings(SETTINGS).ok_value
     assert settings is not None
     assert settings.relay is not None
@@ -45,7 +45,7 @@
     assert settings.relay.hop_port == 7660
 
 
-def test_own_address_is_no_seed() -> None:
+def test_own_address_is_not_a_seed() -> None:
     settings = translate_settings(SETTINGS).ok_value
     assert settings is not None
     assert settings.peers.seeds == ("10.2.0.28:8146",)
--- a/tests/test_platform_wire.py
+++ b/tests/test_platform_wire.py
@@ -1,4 +1,4 @@
-"""What a backend server says of itself in the head of an answer."""
+"""The load counts in the head of a backend server's answer are parsed."""
 
 from types import SimpleNamespace
 
@@ -14,10 +14,10 @@
     return read_answer(answer).counts  # type: ignore[arg-type]
 
 
-def test_a_servers_load_is_read() -> None:
+def test_server_load_is_parsed() -> None:
     assert counts_in("3, 2,8") == ServerCounts(running=3, waiting=2)
 
 
 @pytest.mark.parametrize("text", [None, "", "3", "a,b,c", "-1,0,8", "1.5,0,8", "²,0,8", "x,1,8"])
-def test_a_load_that_cannot_be_read_is_none(text: str | None) -> None:
+def test_malformed_server_load_is_none(text: str | None) -> None:
     assert counts_in(text) is None
--- a/tests/test_published_watcher.py
+++ b/tests/test_published_watcher.py
@@ -1,4 +1,4 @@
-"""The watch of the store follows it while the daemon runs, and ends in good order."""
+"""The platform watcher stops its watches before the connections to the store are closed."""
 
 import asyncio
 from types import SimpleNamespace
@@ -13,7 +13,7 @@
 
 
 class Store:
-    """Answer the first read and hold every later one until the connections are closed."""
+    """Answer the listing and block each long poll until the connections are closed."""
 
     def __init__(self) -> None:
         self.poll_started = asyncio.Event()
@@ -28,7 +28,7 @@
     ) -> Result[Page, ReadError]:
         self.poll_started.set()
         await self.closed.wait()
-        # The call that was under way fails, and the next address is tried.
+        # The call in progress fails, and the next address is tried.
         await asyncio.sleep(0)
         self.calls_after_close += 1
         return Err(STORE_UNREACHABLE)
@@ -39,10 +39,10 @@
 
 
 async def test_watch_ends_before_its_connections_close() -> None:
-    """An operator stops a daemon while its watch waits for changes.
+    """A daemon is stopped while its watch waits for changes.
 
-    The connections to the store close first; the watch sees a failure, tries the next address on a
-    closed session and crashes: an error with a trace in the log of every planned stop.
+    If the connections to the store close first, the watch sees a failure, tries the next address on
+    a closed session and crashes; every planned stop then logs an error with a traceback.
     """
     store = Store()
     reader = StoreReader(
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""Settings that are read again while the daemon runs."""
+"""Settings that are reloaded while the daemon runs."""
 
 import structlog
 from attrs import evolve
@@ -27,7 +27,7 @@
 
 
 class Recorder:
-    """Stand in for the plug-ins."""
+    """Record the settings that the plug-ins receive on a reload."""
 
     def __init__(self) -> None:
         self.seen: list[Settings] = []
@@ -37,7 +37,7 @@
         self.seen.append(context.settings)
 
 
-def test_changed_settings_are_handed_to_the_plugins() -> None:
+def test_changed_settings_are_passed_to_the_plugins() -> None:
     hooks = Recorder()
     context = Context(OLD, 1, hooks)  # type: ignore[arg-type]
     new = evolve(OLD, peers=evolve(OLD.peers, seeds=("127.0.0.1:3",)))
@@ -56,6 +56,6 @@
     assert lines[-1]["faults"] == ["vm: found nothing; name it"]
 
 
-def test_hook_is_known_to_the_kernel() -> None:
+def test_reloaded_hook_is_declared() -> None:
     assert load_plugins().hook.reloaded is not None
     structlog.reset_defaults()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store client and the watch, before a store that pages, forgets and fails."""
+"""The store client against a store that pages, loses its history and fails."""
 
 import base64
 import json
@@ -27,14 +27,14 @@
 
 @define(slots=False)
 class FakeStore:
-    """Hold items by key as (revision, value) and what goes wrong."""
+    """Serve items, kept by key as (revision, value), with configurable failures."""
 
     items: dict[str, tuple[int, Any]] = field(factory=dict)
     revision: int = 1
-    gone: bool = False
+    history_gone: bool = False
     status: int = 200
     # Called after each page of a listing.
-    after_page: Any = None
+    on_page_served: Any = None
 
     def put(self, key: str, value: Any) -> None:
         self.revision += 1
@@ -44,8 +44,8 @@
         revision, value = self.items[key]
         if value is None:
             return {"Key": key, "Revision": revision, "Tombstone": True}
-        coded = base64.b64encode(json.dumps(value).encode()).decode()
-        return {"Key": key, "Revision": revision, "Value": coded, "Created": 1, "Lease": 0}
+        encoded = base64.b64encode(json.dumps(value).encode()).decode()
+        return {"Key": key, "Revision": revision, "Value": encoded, "Created": 1, "Lease": 0}
 
     async def list_items(self, request: web.Request) -> web.Response:
         if self.status != 200:
@@ -57,12 +57,12 @@
             "HasMore": len(keys) > PAGE_ITEMS,
             "StoreRevision": self.revision,
         }
-        if self.after_page:
-            self.after_page()
+        if self.on_page_served:
+            self.on_page_served()
         return web.json_response(body)
 
     async def watch(self, request: web.Request) -> web.Response:
-        if self.gone:
+        if self.history_gone:
             return web.Response(status=410)
         after = int(request.query["after"])
         keys = sorted((rev, key) for key, (rev, _) in self.items.items() if rev > after)
@@ -93,7 +93,7 @@
     copy.apply(page.changes, page.head_revision, after_revision=0)
 
 
-async def test_listing_takes_all_pages(client: Client) -> None:
+async def test_listing_reads_all_pages(client: Client) -> None:
     for number in range(5):
         client.fake.put(f"k{number}", number)
     copy = KeyspaceCopy(KEYSPACE)
@@ -101,21 +101,21 @@
     assert dict(copy.values) == {f"k{number}": number for number in range(5)}
 
 
-async def test_change_between_two_pages_comes_with_the_watch(client: Client) -> None:
+async def test_change_between_two_pages_arrives_through_the_watch(client: Client) -> None:
     """A key is deleted and another changed while a reader goes from page to page.
 
-    Read as one snapshot, the deleted key would stay for good and the changed one be newer than the
-    revision that the watch goes on from.
+    If the pages were applied as one snapshot, the deleted key would stay for good and the changed
+    one would be newer than the revision from which the watch continues.
     """
     for number in range(4):
         client.fake.put(f"k{number}", "old")
 
     def change_once() -> None:
-        client.fake.after_page = None
+        client.fake.on_page_served = None
         client.fake.put("k0", None)
         client.fake.put("k3", "new")
 
-    client.fake.after_page = change_once
+    client.fake.on_page_served = change_once
     copy = KeyspaceCopy(KEYSPACE)
     await read_into(copy, client)
     after = copy.observed_revision
@@ -124,15 +124,15 @@
     assert dict(copy.values) == {"k1": "old", "k2": "old", "k3": "new"}
 
 
-async def test_forgotten_history_is_told_apart(client: Client) -> None:
-    client.fake.gone = True
+async def test_missing_history_is_its_own_failure(client: Client) -> None:
+    client.fake.history_gone = True
     result = await client.store.read_changes(KEYSPACE, 1, now_unix_s())
     assert isinstance(result, Err)
     assert result.err_value.failure is ReadFailure.HISTORY_GONE
 
 
 @pytest.mark.parametrize("status", [429, 503])
-async def test_refused_call_says_so(client: Client, status: int) -> None:
+async def test_refused_call_is_reported_with_its_status(client: Client, status: int) -> None:
     client.fake.status = status
     result = await client.store.read_all(KEYSPACE)
     assert isinstance(result, Err)
@@ -140,7 +140,7 @@
     assert result.err_value.detail == f"status {status}"
 
 
-async def test_unreadable_item_is_left_out_and_the_others_are_read(client: Client) -> None:
+async def test_undecodable_item_is_ignored_and_the_others_are_read(client: Client) -> None:
     client.fake.put("k1", "fine")
     client.fake.put("k2", "x")
     broken = client.fake.item("things/k2") | {"Value": "no base64!"}
--- a/tests/test_vm_list.py
+++ b/tests/test_vm_list.py
@@ -1,4 +1,4 @@
-"""Lapsed leases and cold starts count from when a VM sees them."""
+"""Expired leases and cold starts are timed from when this VM receives them."""
 
 from typing import Any
 
@@ -16,11 +16,11 @@
 }
 
 
-def test_server_whose_lease_lapsed_stays_for_a_while() -> None:
-    """The store is away; the servers' leases lapse there although they live.
+def test_server_with_expired_lease_stays_for_grace_period() -> None:
+    """The servers' leases expire in the store during an outage, although the servers run.
 
-    On its return the list is empty until they register again. Taken as gone at once, every request
-    would be refused until then.
+    After the outage the list is empty until they register again. If they were removed at once,
+    every request would be refused until then.
     """
     vms = VmList()
     vms.update({"vms/s1": VALUE}, 100.0)
@@ -31,7 +31,7 @@
     assert vms.servers == {}
 
 
-def test_server_that_registers_again_is_as_before() -> None:
+def test_server_that_registers_again_is_listed_without_expiry() -> None:
     vms = VmList()
     vms.update({"vms/s1": VALUE}, 100.0)
     vms.update({}, 101.0)
@@ -40,14 +40,14 @@
     assert not vms.remove_expired(200.0)
 
 
-def test_leaving_server_that_is_gone_is_gone() -> None:
+def test_leaving_server_is_removed_without_grace_period() -> None:
     vms = VmList()
     vms.update({"vms/s1": {**VALUE, "state": "leaving"}}, 100.0)
     vms.update({}, 101.0)
     assert vms.servers == {}
 
 
-def test_time_to_be_cold_counts_from_its_first_sight_only() -> None:
+def test_cold_time_counts_from_first_receipt_only() -> None:
     vms = VmList()
     values = {"vms/s1": {**VALUE, "cold_left_s": 3.0}}
     vms.update(values, 100.0)
