--- a/src/pomelobarrow/operators/cli.py
+++ b/src/pomelobarrow/operators/cli.py
@@ -27,14 +27,14 @@
     TraceRequestCommand,
 )
 STANDIN_MODULE = "pomelobarrow.standin.commands"
-HELP_ALONE = (["--help"], ["-h"])
+HELP_ONLY = (["--help"], ["-h"])
 TRACEBACK_OPTION = "-vvv"
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
     """Run one command; return 0 when all is well, 1 on a fault, 2 on wrong usage."""
     given = list(sys.argv[1:] if arguments is None else arguments)
-    if given in HELP_ALONE:
+    if given in HELP_ONLY:
         # cleo would explain its list command; the list of commands is what helps here.
         given = []
     try:
@@ -62,9 +62,9 @@
 
 def _standin_commands(arguments: Sequence[str]) -> Sequence[type[Command]]:
     """Import the stand-ins only for their own commands and for lists: no daemon loads them."""
-    own_words = {command.name.split()[0] for command in COMMANDS if command.name}
-    first_word = next((each for each in arguments if not each.startswith("-")), "")
-    if first_word in own_words:
+    command_names = {command.name.split()[0] for command in COMMANDS if command.name}
+    requested_name = next((each for each in arguments if not each.startswith("-")), "")
+    if requested_name in command_names:
         return ()
     try:
         commands: Sequence[type[Command]] = importlib.import_module(STANDIN_MODULE).COMMANDS
--- a/src/pomelobarrow/operators/commands/check.py
+++ b/src/pomelobarrow/operators/commands/check.py
@@ -28,6 +28,6 @@
         if isinstance(loaded, Err):
             return self.fail(loaded.err_value)
         settings = loaded.ok_value
-        place = f"{settings.region}, failure domain {settings.failure_domain}"
-        self.print_line(f"no fault: VM {settings.vm} in {place}")
+        location = f"{settings.region}, failure domain {settings.failure_domain}"
+        self.print_line(f"no fault: VM {settings.vm} in {location}")
         return EXIT_OK
--- a/src/pomelobarrow/operators/commands/daemon_client.py
+++ b/src/pomelobarrow/operators/commands/daemon_client.py
@@ -26,10 +26,10 @@
 JSON_OPTION = option("json", None, "Print the answer as JSON on one line.", flag=True)
 
 
-class AskingCommand(OperatorCommand):
+class DaemonQueryCommand(OperatorCommand):
     """Ask a daemon by one GET and print what it answers."""
 
-    def show_answer(self, path: str, query: Mapping[str, str]) -> int:
+    def print_answer(self, path: str, query: Mapping[str, str]) -> int:
         """Ask and print."""
         url = _url(self.required_option("address"), path).with_query(query)
         answer = asyncio.run(_get(url, _timeout_s(self.required_option("timeout-s"))))
--- a/src/pomelobarrow/operators/commands/explain.py
+++ b/src/pomelobarrow/operators/commands/explain.py
@@ -6,11 +6,11 @@
     ADDRESS_OPTION,
     JSON_OPTION,
     TIMEOUT_OPTION,
-    AskingCommand,
+    DaemonQueryCommand,
 )
 
 
-class ExplainCommand(AskingCommand):
+class ExplainCommand(DaemonQueryCommand):
     """Explain a placement without sending anything."""
 
     name = "explain"
@@ -32,4 +32,4 @@
     def handle(self) -> int:
         """Ask and print."""
         query = {name: self.required_option(name) for name in ("class", "account")}
-        return self.show_answer("/v1/explain", query)
+        return self.print_answer("/v1/explain", query)
--- a/src/pomelobarrow/operators/commands/status.py
+++ b/src/pomelobarrow/operators/commands/status.py
@@ -4,11 +4,11 @@
     ADDRESS_OPTION,
     JSON_OPTION,
     TIMEOUT_OPTION,
-    AskingCommand,
+    DaemonQueryCommand,
 )
 
 
-class StatusCommand(AskingCommand):
+class StatusCommand(DaemonQueryCommand):
     """Show what a daemon knows and does."""
 
     name = "status"
@@ -23,4 +23,4 @@
 
     def handle(self) -> int:
         """Ask and print."""
-        return self.show_answer("/v1/status", {})
+        return self.print_answer("/v1/status", {})
--- a/src/pomelobarrow/operators/commands/trace_request.py
+++ b/src/pomelobarrow/operators/commands/trace_request.py
@@ -30,21 +30,21 @@
     def handle(self) -> int:
         """Read the logs and print."""
         try:
-            trail = find_trail(self.argument("id"), self._lines())
+            trail = find_trail(self.argument("id"), self._log_lines())
         except OSError as error:
             fault = Fault(path="log", seen=str(error), remedy="name readable files")
             return self.fail([fault])
         for line in trail.lines:
-            self.print_line(_shown(line))
+            self.print_line(_format_line(line))
         self.print_line(f"cause: {trail.cause}")
         return EXIT_OK if trail.lines else EXIT_FAULT
 
-    def _lines(self) -> Iterator[str]:
+    def _log_lines(self) -> Iterator[str]:
         for path in self.option("log"):
             with Path(path).open(encoding="utf-8", errors="replace") as log:
                 yield from log
 
 
-def _shown(line: Line) -> str:
+def _format_line(line: Line) -> str:
     fields = " ".join(f"{k}={v}" for k, v in line.items() if k not in HIDDEN_FIELDS)
     return f"{line.get('timestamp')} {line.get('vm')} {line.get('event')}: {fields}"
--- a/src/pomelobarrow/operators/logs.py
+++ b/src/pomelobarrow/operators/logs.py
@@ -13,13 +13,13 @@
 
 from pomelobarrow.kernel.clock import now_unix_s
 from pomelobarrow.kernel.settings import LogLevel
-from pomelobarrow.operators.output import ByteStream, LossyStream, bounded_fd
+from pomelobarrow.operators.output import ByteStream, LossyStream, rate_limited_stream
 from pomelobarrow.operators.redaction import redact, redact_line
 
-INFO = b'"level":"info"'
-ANSWERED = b'"outcome":"answered"'
-PLACED = b'"event":"relay placed"'
-PASSED_ON = b'"end":"passed on"'
+INFO_FIELD = b'"level":"info"'
+ANSWERED_FIELD = b'"outcome":"answered"'
+RELAY_PLACED_FIELD = b'"event":"relay placed"'
+PASSED_ON_FIELD = b'"end":"passed on"'
 
 Event = MutableMapping[str, Any]
 Processor = Callable[[Any, str, Event], Any]
@@ -30,7 +30,9 @@
 
 def configure_logs(level: LogLevel, vm: str, stream: ByteStream | None = None) -> None:
     """Send structlog's and the standard library's log events to a stream as JSON lines."""
-    output = LossyStream(stream or bounded_fd(sys.stdout.fileno(), now_unix_s, is_ordinary))
+    output = LossyStream(
+        stream or rate_limited_stream(sys.stdout.fileno(), now_unix_s, is_low_priority)
+    )
     number = logging.getLevelNamesMapping()[level.name]
     structlog.configure(
         processors=[*_processors(vm), _render],
@@ -43,15 +45,15 @@
     )
 
 
-def is_ordinary(line: bytes) -> bool:
+def is_low_priority(line: bytes) -> bool:
     """Say whether a line may go first when there are too many.
 
     Every line of a request that was answered is ordinary, and so is its placement; a line without
     an outcome of its own, like the start of this process, is rare and kept.
     """
-    if INFO not in line:
+    if INFO_FIELD not in line:
         return False
-    return ANSWERED in line or PLACED in line or PASSED_ON in line
+    return ANSWERED_FIELD in line or RELAY_PLACED_FIELD in line or PASSED_ON_FIELD in line
 
 
 def request_logs(request_id: str, trace_id: str = "") -> AbstractContextManager[None]:
--- a/src/pomelobarrow/operators/metrics.py
+++ b/src/pomelobarrow/operators/metrics.py
@@ -39,7 +39,7 @@
     def fill(self) -> None:
         """Bring the collector up to date."""
         for values, count in self._counts.items():
-            self._collector.set(_label(self._labels, values), count)
+            self._collector.set(_escaped_labels(self._labels, values), count)
 
 
 class GaugeFamily:
@@ -71,7 +71,7 @@
         """Bring the collector up to date and drop series that are no more."""
         self._collector.values.clear()
         for values, value in self._series().items():
-            self._collector.set(_label(self._labels, values), value)
+            self._collector.set(_escaped_labels(self._labels, values), value)
 
     def _series(self) -> Mapping[LabelValues, float]:
         return self._reader() if self._reader else self._values
@@ -108,7 +108,7 @@
     def fill(self) -> None:
         """Bring the collector up to date."""
         for values, series in self._series.items():
-            self._collector.set_value(_label(self._labels, values), series)
+            self._collector.set_value(_escaped_labels(self._labels, values), series)
 
 
 class Metrics:
@@ -275,7 +275,7 @@
         return content, headers[CONTENT_TYPE_HEADER]
 
 
-def _label(names: LabelValues, values: LabelValues) -> dict[str, str]:
+def _escaped_labels(names: LabelValues, values: LabelValues) -> dict[str, str]:
     # aioprometheus writes label values as they are; a quote would break the whole answer.
     escaped = (value.translate(_ESCAPES) for value in values)
     return dict(zip(names, escaped, strict=True))
--- a/src/pomelobarrow/operators/output.py
+++ b/src/pomelobarrow/operators/output.py
@@ -49,7 +49,7 @@
             self._stream.flush()
 
 
-class BoundedStream:
+class RateLimitedStream:
     """Write lines without ever waiting for the reader, and say how many were dropped.
 
     A reader that stops reading fills the pipe, and the next write would hold up every request of
@@ -60,70 +60,70 @@
         self,
         write: Callable[[bytes], int],
         clock_s: Callable[[], float],
-        is_ordinary: Callable[[bytes], bool] = lambda line: False,
+        is_low_priority: Callable[[bytes], bool] = lambda line: False,
     ) -> None:
         self._write = write
-        self._is_ordinary = is_ordinary
+        self._is_low_priority = is_low_priority
         self._clock_s = clock_s
         self._allowance = MAX_BURST_LINES
-        self._filled_s = clock_s()
+        self._refilled_s = clock_s()
         self._dropped = 0
         # The part of a line that the pipe had no room for.
-        self._rest = b""
+        self._partial_line = b""
 
     def write(self, data: bytes, /) -> int:
         """Write a line, or count it as dropped."""
-        if not self._may_write(data):
+        if not self._take_allowance(data):
             self._dropped += 1
             return len(data)
-        note, dropped = self._note(), self._dropped
+        notice, dropped = self._dropped_notice(), self._dropped
         self._dropped = 0
-        if not self._put(note + data):
+        if not self._write_nonblocking(notice + data):
             self._dropped = dropped + 1
         return len(data)
 
     def flush(self) -> None:
         """Do nothing: lines aren't kept back."""
 
-    def _may_write(self, line: bytes) -> bool:
+    def _take_allowance(self, line: bytes) -> bool:
         now_s = self._clock_s()
-        refill = max(0.0, now_s - self._filled_s) * MAX_LINES_PER_S
+        refill = max(0.0, now_s - self._refilled_s) * MAX_LINES_PER_S
         self._allowance = min(MAX_BURST_LINES, self._allowance + refill)
-        self._filled_s = now_s
-        least = 1.0
-        if self._allowance < RESERVED_LINES and self._is_ordinary(line):
-            least = RESERVED_LINES
-        if self._allowance < least:
+        self._refilled_s = now_s
+        required = 1.0
+        if self._allowance < RESERVED_LINES and self._is_low_priority(line):
+            required = RESERVED_LINES
+        if self._allowance < required:
             return False
         self._allowance -= 1.0
         return True
 
-    def _note(self) -> bytes:
+    def _dropped_notice(self) -> bytes:
         if not self._dropped:
             return b""
         fields = {"event": "log lines dropped", "level": "warning", "lines": self._dropped}
         return orjson.dumps(fields) + b"\n"
 
-    def _put(self, data: bytes) -> bool:
+    def _write_nonblocking(self, data: bytes) -> bool:
         """Write what fits; say whether the data is written or will be."""
         try:
-            written = self._write(self._rest + data)
+            written = self._write(self._partial_line + data)
         except BlockingIOError:
             return False
         except OSError:
             # The reader is gone for good.
-            self._rest = b""
+            self._partial_line = b""
             return False
-        self._rest = (self._rest + data)[written:]
+        self._partial_line = (self._partial_line + data)[written:]
         return True
 
 
-def bounded_fd(
-    fd: int, clock_s: Callable[[], float], is_ordinary: Callable[[bytes], bool]
-) -> BoundedStream:
+def rate_limited_stream(
+    fd: int, clock_s: Callable[[], float], is_low_priority: Callable[[bytes], bool]
+) -> RateLimitedStream:
     """Return a stream to an open file that never waits for its reader."""
     mode = os.fstat(fd).st_mode
     # Of a terminal the setting would outlive this process, and files don't make a writer wait.
     if stat.S_ISFIFO(mode) or stat.S_ISSOCK(mode):
         os.set_blocking(fd, False)
-    return BoundedStream(lambda data: os.write(fd, data), clock_s, is_ordinary)
+    return RateLimitedStream(lambda data: os.write(fd, data), clock_s, is_low_priority)
--- a/src/pomelobarrow/operators/plugin.py
+++ b/src/pomelobarrow/operators/plugin.py
@@ -43,7 +43,7 @@
         self._metrics = metrics
         # Bound once: the lazy logger binds anew at each event.
         self._log = log.bind()
-        self._on: dict[type, Callable[[Any], None]] = {
+        self._handlers: dict[type, Callable[[Any], None]] = {
             RequestEnded: self._request_ended,
             AttemptEnded: self._attempt_ended,
             Forwarded: self._forwarded,
@@ -51,24 +51,24 @@
             KeyspaceRefused: self._keyspace_refused,
             PlatformUnreachable: self._platform_unreachable,
             PlatformReachable: self._platform_reachable,
-            ProcessPauseDetected: self._pause_noticed,
+            ProcessPauseDetected: self._process_pause_detected,
             RelayPlaced: self._relay_placed,
-            RelayNotPlaced: self._relay_placed_nowhere,
+            RelayNotPlaced: self._relay_not_placed,
             RelayAttemptEnded: self._relay_attempt_ended,
             RelayEnded: self._relay_ended,
             ServerEjected: self._server_ejected,
             ServerLimitNamed: self._server_limit_named,
             ServerEnded: self._server_ended,
             RequestBlocked: self._request_blocked,
-            ServerReadmitted: self._server_back,
+            ServerReadmitted: self._server_readmitted,
             PeerRefused: self._peer_refused,
-            MemberLivenessChanged: self._member_judged,
+            MemberLivenessChanged: self._member_liveness_changed,
             DirectoryChanged: self._directory_changed,
         }
 
     def observe(self, event: object) -> None:
         """Take one event; unknown ones are someone else's."""
-        handler = self._on.get(type(event))
+        handler = self._handlers.get(type(event))
         if handler is not None:
             handler(event)
 
@@ -140,7 +140,7 @@
     def _relay_placed(self, event: RelayPlaced) -> None:
         self._log.info("relay placed", **asdict(event))
 
-    def _relay_placed_nowhere(self, event: RelayNotPlaced) -> None:
+    def _relay_not_placed(self, event: RelayNotPlaced) -> None:
         self._log.warning("relay placed nowhere", **asdict(event))
 
     def _relay_attempt_ended(self, event: RelayAttemptEnded) -> None:
@@ -169,13 +169,13 @@
     def _server_limit_named(self, event: ServerLimitNamed) -> None:
         self._log.info("server limit named", **asdict(event))
 
-    def _server_back(self, event: ServerReadmitted) -> None:
+    def _server_readmitted(self, event: ServerReadmitted) -> None:
         self._log.info("server back", **asdict(event))
 
-    def _pause_noticed(self, event: ProcessPauseDetected) -> None:
+    def _process_pause_detected(self, event: ProcessPauseDetected) -> None:
         self._log.warning("this process stood still", gap_s=round(event.gap_s, 3))
 
-    def _member_judged(self, event: MemberLivenessChanged) -> None:
+    def _member_liveness_changed(self, event: MemberLivenessChanged) -> None:
         change = "heard" if event.is_live else "silent"
         self._metrics.member_changes.inc(change, "peer" if event.told_by else "itself")
         self._log.info(f"member {change}", **asdict(event))
--- a/src/pomelobarrow/operators/recorded_spans.py
+++ b/src/pomelobarrow/operators/recorded_spans.py
@@ -26,12 +26,12 @@
 
     def start(name: str, parent: str, attributes: Mapping[str, AttributeValue]) -> HopSpan:
         context = _PROPAGATOR.extract({TRACEPARENT: parent}) if parent else None
-        return _Recorded(tracer.start_span(name, context=context, attributes=attributes))
+        return _RecordedSpan(tracer.start_span(name, context=context, attributes=attributes))
 
     return start
 
 
-class _Recorded:
+class _RecordedSpan:
     """Record a span; an error is noted by its type only, its message may quote a body."""
 
     __slots__ = ("_span", "traceparent")
--- a/src/pomelobarrow/operators/redaction.py
+++ b/src/pomelobarrow/operators/redaction.py
@@ -15,7 +15,7 @@
     re.IGNORECASE,
 )
 # Counts such as prompt_tokens are no secret; a number under any of these names is kept.
-_HARMLESS = (int, float, bool, type(None))
+_NON_SECRET_TYPES = (int, float, bool, type(None))
 # Written without IGNORECASE, which makes the search several times slower.
 _CREDENTIALS_PATTERN = re.compile(
     rb"([Bb](?:[Ee][Aa][Rr][Ee][Rr]|[Aa][Ss][Ii][Cc])(?: |\\[tnr])+)[^\s'\"\\,)\]}]+"
@@ -26,7 +26,7 @@
     """Redact an event's fields by their names; the first two arguments are structlog's."""
     for key, value in event.items():
         # Nearly every field is one of these, and every request logs a dozen.
-        if type(value) in _HARMLESS or (type(value) is str and not _is_secret(key)):
+        if type(value) in _NON_SECRET_TYPES or (type(value) is str and not _is_secret(key)):
             continue
         event[key] = _redact_field(key, value, 0)
     return event
@@ -44,7 +44,7 @@
 
 
 def _redact_field(key: object, value: Any, depth: int) -> Any:
-    if isinstance(value, _HARMLESS):
+    if isinstance(value, _NON_SECRET_TYPES):
         return value
     if isinstance(key, str | bytes) and _is_secret(key):
         return REDACTED
@@ -52,7 +52,7 @@
 
 
 def _redact_value(value: Any, depth: int) -> Any:
-    if isinstance(value, (str, *_HARMLESS)):
+    if isinstance(value, (str, *_NON_SECRET_TYPES)):
         return value
     if depth >= MAX_DEPTH or isinstance(value, bytes | bytearray | memoryview):
         return REDACTED
--- a/src/pomelobarrow/operators/request_trail.py
+++ b/src/pomelobarrow/operators/request_trail.py
@@ -6,27 +6,27 @@
 import orjson
 from attrs import frozen
 
-PLACED_NOWHERE = "relay placed nowhere"
-ATTEMPT_ENDED = "relay attempt ended"
-ENDED = "relay ended"
+RELAY_NOT_PLACED_EVENT = "relay placed nowhere"
+RELAY_ATTEMPT_ENDED_EVENT = "relay attempt ended"
+RELAY_ENDED_EVENT = "relay ended"
 FIRST_SERVER_ERROR_STATUS = 500
 
 Line = Mapping[str, Any]
 
 
 @frozen(kw_only=True)
-class Trail:
+class RequestTrail:
     """Hold a request's lines in the order of their times, and the cause that they prove."""
 
     lines: tuple[Line, ...]
     cause: str
 
 
-def find_trail(request_id: str, raw_lines: Iterable[str]) -> Trail:
+def find_trail(request_id: str, raw_lines: Iterable[str]) -> RequestTrail:
     """Collect a request's lines from any number of logs; what isn't JSON is passed over."""
     lines = [line for raw in raw_lines if (line := _parse(request_id, raw)) is not None]
     lines.sort(key=lambda line: str(line.get("timestamp", "")))
-    return Trail(lines=tuple(lines), cause=_cause(lines))
+    return RequestTrail(lines=tuple(lines), cause=_cause(lines))
 
 
 def _parse(request_id: str, raw: str) -> Line | None:
@@ -42,9 +42,13 @@
 
 
 def _cause(lines: list[Line]) -> str:
-    ends = [line for line in lines if line.get("event") == ENDED and not line.get("forwarded_by")]
+    ends = [
+        line
+        for line in lines
+        if line.get("event") == RELAY_ENDED_EVENT and not line.get("forwarded_by")
+    ]
     if not ends:
-        return f"can't be proved: no line '{ENDED}' of the VM that took the request"
+        return f"can't be proved: no line '{RELAY_ENDED_EVENT}' of the VM that took the request"
     end = ends[-1]
     explain = _EXPLAIN_BY_OUTCOME.get(str(end.get("outcome")))
     if explain is None:
@@ -54,27 +58,27 @@
 
 def _last_attempt(lines: list[Line]) -> Line:
     """Return the last sending to a backend server, else to a peer, else nothing."""
-    attempts = [line for line in lines if line.get("event") == ATTEMPT_ENDED]
+    attempts = [line for line in lines if line.get("event") == RELAY_ATTEMPT_ENDED_EVENT]
     vms = {line.get("vm") for line in lines}
-    at_servers = [line for line in attempts if line.get("target") not in vms]
-    return (at_servers or attempts or [{}])[-1]
+    server_attempts = [line for line in attempts if line.get("target") not in vms]
+    return (server_attempts or attempts or [{}])[-1]
 
 
 def _explain_refused(end: Line, lines: list[Line]) -> str:
     attempt = _last_attempt(lines)
     if not attempt:
-        return f"refused unsent: {end.get('detail')}{_seen_then(lines)}"
+        return f"refused unsent: {end.get('detail')}{_server_counts(lines)}"
     return f"refused unrun: {attempt['target']} {attempt['end']} ({attempt['detail']})"
 
 
-def _seen_then(lines: list[Line]) -> str:
+def _server_counts(lines: list[Line]) -> str:
     """Return what the VM knew of servers when it found none."""
-    seen = [line for line in lines if line.get("event") == PLACED_NOWHERE]
+    seen = [line for line in lines if line.get("event") == RELAY_NOT_PLACED_EVENT]
     if not seen:
         return ""
     last = seen[-1]
-    here = f"{last['servers_usable']} of {last['servers_listed']} servers usable here"
-    return f" ({here}, {last['servers_cold']} cold; elsewhere {last['servers_elsewhere']})"
+    local = f"{last['servers_usable']} of {last['servers_listed']} servers usable here"
+    return f" ({local}, {last['servers_cold']} cold; elsewhere {last['servers_elsewhere']})"
 
 
 def _explain_failed(end: Line, lines: list[Line]) -> str:
@@ -97,7 +101,7 @@
     return f"no failure: answered {end.get('status')}, the first of it after {_first_answer(end)}"
 
 
-def _explain_gone(end: Line, lines: list[Line]) -> str:
+def _explain_client_gone(end: Line, lines: list[Line]) -> str:
     return f"the client left after {end['took_s']:.3f} s; the first answer: {_first_answer(end)}"
 
 
@@ -111,5 +115,5 @@
     "failed": _explain_failed,
     "broken off": _explain_broken_off,
     "answered": _explain_answered,
-    "client gone": _explain_gone,
+    "client gone": _explain_client_gone,
 }
--- a/src/pomelobarrow/operators/traces.py
+++ b/src/pomelobarrow/operators/traces.py
@@ -61,11 +61,11 @@
     def span(self, name: str, parent: str = "", **attributes: AttributeValue) -> HopSpan:
         """Start a span under a traceparent, or a new trace when it has none or a bad one."""
         if self._start is None:
-            return _PassedOn(parent)
+            return _PassthroughSpan(parent)
         return self._start(name, parent, attributes)
 
 
-class _PassedOn:
+class _PassthroughSpan:
     """Pass the caller's traceparent on unchanged and record nothing."""
 
     __slots__ = ("traceparent",)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -64,7 +64,7 @@
         "standin",
     ],
 )
-def test_wrong_usage_is_told_without_a_traceback(arguments: str, capsys: Capture) -> None:
+def test_wrong_usage_is_reported_without_a_traceback(arguments: str, capsys: Capture) -> None:
     assert cli.main(arguments.split()) == EXIT_USAGE
     shown = capsys.readouterr()
     assert "--help" in shown.err
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize("command", cli.COMMANDS, ids=lambda command: command.name)
-def test_help_tells_exit_codes_and_an_example(command: type[Command], capsys: Capture) -> None:
+def test_help_contains_exit_codes_and_an_example(command: type[Command], capsys: Capture) -> None:
     assert cli.main([*str(command.name).split(), "--help"]) == EXIT_OK
     shown = capsys.readouterr().out
     assert "Exit code: 0" in shown
@@ -88,7 +88,9 @@
 
 
 @pytest.mark.parametrize("command", ["check", "serve"])
-def test_faulty_settings_are_named(command: str, tmp_path: Path, capsys: Capture) -> None:
+def test_invalid_settings_are_reported_by_path(
+    command: str, tmp_path: Path, capsys: Capture
+) -> None:
     file = tmp_path / "vm.yaml"
     file.write_text(yaml.safe_dump({**SETTINGS, "vm": 7}))
     assert cli.main([command, "--settings", str(file)]) == EXIT_FAULT
@@ -133,7 +135,9 @@
     assert f"{path}: found" in capsys.readouterr().err
 
 
-async def test_status_shows_data_as_it_is(daemon_address: str, capsys: Capture) -> None:
+async def test_status_prints_data_without_interpreting_markup(
+    daemon_address: str, capsys: Capture
+) -> None:
     assert await run("status", "--address", daemon_address) == EXIT_OK
     lines = capsys.readouterr().out.splitlines()
     assert lines == ["platform:", "  revision: 7", "  sources:", "    - <b>x</b>", "e: []"]
@@ -146,7 +150,7 @@
         ("drat", EXIT_FAULT, "status 400: no such class; name one of draft, note"),
     ],
 )
-async def test_explain_shows_the_answer_or_the_refusal(
+async def test_explain_prints_the_answer_or_the_refusal(
     class_name: str, code: int, shown: str, daemon_address: str, capsys: Capture
 ) -> None:
     options = ["--class", class_name, "--account", "shop-17", "--json"]
@@ -159,7 +163,7 @@
     assert "check the address" in capsys.readouterr().err
 
 
-async def test_silent_daemon_is_a_fault(capsys: Capture) -> None:
+async def test_unresponsive_daemon_is_a_fault(capsys: Capture) -> None:
     # The operator sees nothing at all: the daemon's process is stopped, its kernel still accepts
     # the connection, and no byte ever comes back. The command must end by its own deadline.
     async def never_answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -174,7 +178,7 @@
     assert "no answer within 0.1 s" in capsys.readouterr().err
 
 
-def test_missing_standins_leave_the_other_commands(
+def test_other_commands_work_without_standins(
     monkeypatch: pytest.MonkeyPatch, capsys: Capture
 ) -> None:
     monkeypatch.setattr(cli, "STANDIN_MODULE", "pomelobarrow.no_such_room.commands")
@@ -190,7 +194,7 @@
     ],
     ids=["whole", "broken"],
 )
-def test_program_tells_its_end_in_one_line(arguments: list[str], code: int, start: bytes) -> None:
+def test_program_reports_result_in_one_line(arguments: list[str], code: int, start: bytes) -> None:
     finished = subprocess.run([sys.executable, *arguments], capture_output=True)
     assert finished.returncode == code
     assert (finished.stdout + finished.stderr).startswith(start)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -8,8 +8,8 @@
 import structlog
 
 from pomelobarrow.kernel.settings import LogLevel
-from pomelobarrow.operators.logs import configure_logs, is_ordinary, request_logs
-from pomelobarrow.operators.output import MAX_BURST_LINES, RESERVED_LINES, BoundedStream
+from pomelobarrow.operators.logs import configure_logs, is_low_priority, request_logs
+from pomelobarrow.operators.output import MAX_BURST_LINES, RESERVED_LINES, RateLimitedStream
 from pomelobarrow.operators.redaction import REDACTED
 
 
@@ -28,7 +28,7 @@
     return [orjson.loads(line) for line in stream.getvalue().splitlines()]
 
 
-def test_line_names_request_trace_and_vm(stream: io.BytesIO) -> None:
+def test_line_contains_request_trace_and_vm(stream: io.BytesIO) -> None:
     log = structlog.get_logger()
     with request_logs("r-1", "t-1"):
         log.info("request ended", prompt_tokens=40)
@@ -39,7 +39,7 @@
     assert "request_id" not in second
 
 
-def test_level_is_kept(stream: io.BytesIO) -> None:
+def test_events_below_the_level_are_filtered_out(stream: io.BytesIO) -> None:
     structlog.get_logger().debug("detail")
     logging.getLogger("aiohttp.access").info("GET /")
     assert stream.getvalue() == b""
@@ -76,7 +76,7 @@
     assert "s3cr3t" not in line["event"]
 
 
-def test_traceback_holds_no_local_variables(stream: io.BytesIO) -> None:
+def test_traceback_contains_no_local_variables(stream: io.BytesIO) -> None:
     def fail(body: str) -> None:
         raise RuntimeError("failed")
 
@@ -89,7 +89,7 @@
     assert b"confidential" not in stream.getvalue()
 
 
-def test_dead_reader_of_stderr_fails_no_request() -> None:
+def test_broken_output_pipe_does_not_fail_requests() -> None:
     # The caller sees a failed request: whatever read stderr has died, the next log line raises
     # BrokenPipeError in the middle of a request. Lines are dropped instead.
     class DeadPipe(io.BytesIO):
@@ -106,56 +106,56 @@
 class Pipe:
     """Take as many bytes as there is room for, as a pipe whose reader may stop does."""
 
-    def __init__(self, room: int) -> None:
-        self.room = room
-        self.taken = b""
+    def __init__(self, free_bytes: int) -> None:
+        self.free_bytes = free_bytes
+        self.received = b""
 
     def write(self, data: bytes) -> int:
-        if not self.room:
+        if not self.free_bytes:
             raise BlockingIOError
-        part = data[: self.room]
-        self.room -= len(part)
-        self.taken += part
+        part = data[: self.free_bytes]
+        self.free_bytes -= len(part)
+        self.received += part
         return len(part)
 
 
-def test_reader_that_stops_reading_holds_up_nobody() -> None:
+def test_full_pipe_drops_lines_without_blocking() -> None:
     """The reader of the logs stops and the pipe is full; a request logs a line.
 
     A blocking write would hold up the process. The line is dropped, the half one is finished
     first when there is room again, and a note tells how many are missing.
     """
-    pipe = Pipe(room=6)
-    output = BoundedStream(pipe.write, lambda: 0.0)
+    pipe = Pipe(free_bytes=6)
+    output = RateLimitedStream(pipe.write, lambda: 0.0)
     for line in (b"one\n", b"two\n", b"three\n", b"four\n"):
         output.write(line)
-    pipe.room = 1_000
+    pipe.free_bytes = 1_000
     output.write(b"five\n")
-    first, second, note, last = pipe.taken.splitlines()
+    first, second, notice, last = pipe.received.splitlines()
     assert (first, second, last) == (b"one", b"two", b"five")
-    assert orjson.loads(note)["lines"] == 2
+    assert orjson.loads(notice)["lines"] == 2
 
 
-def test_storm_of_lines_is_bounded_and_counted() -> None:
-    pipe, now_s = Pipe(room=10**9), [0.0]
-    output = BoundedStream(pipe.write, lambda: now_s[0])
+def test_line_rate_is_limited_and_dropped_lines_are_counted() -> None:
+    pipe, now_s = Pipe(free_bytes=10**9), [0.0]
+    output = RateLimitedStream(pipe.write, lambda: now_s[0])
     for _ in range(int(MAX_BURST_LINES) + 50):
         output.write(b"line\n")
     now_s[0] = 1.0
     output.write(b"line\n")
-    lines = pipe.taken.splitlines()
+    lines = pipe.received.splitlines()
     assert lines.count(b"line") == MAX_BURST_LINES + 1
     assert orjson.loads(lines[-2])["lines"] == 50
 
 
-def test_refusals_are_logged_through_a_storm_of_successes() -> None:
+def test_refusals_are_logged_while_successes_exceed_the_rate_limit() -> None:
     """Thousands of requests are answered in a second and a few are refused.
 
     Cut off at the bound alone, the lines of the refused ones would be missing with the others, and
     nobody could find out afterwards why they were.
     """
-    pipe = Pipe(room=10**9)
-    output = BoundedStream(pipe.write, lambda: 0.0, is_ordinary)
+    pipe = Pipe(free_bytes=10**9)
+    output = RateLimitedStream(pipe.write, lambda: 0.0, is_low_priority)
     answered = b'{"outcome":"answered","event":"relay ended","level":"info"}\n'
     refused = b'{"outcome":"refused","event":"relay ended","level":"info"}\n'
     failed = b'{"end":"lost","event":"relay attempt ended","level":"info"}\n'
@@ -164,6 +164,6 @@
     for _ in range(100):
         output.write(refused)
         output.write(failed)
-    lines = pipe.taken.splitlines(keepends=True)
+    lines = pipe.received.splitlines(keepends=True)
     assert lines.count(refused) == lines.count(failed) == 100
     assert lines.count(answered) == MAX_BURST_LINES - RESERVED_LINES + 1
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -7,7 +7,7 @@
     return content.decode().splitlines()
 
 
-def test_counters_are_rendered_by_label_and_only_once() -> None:
+def test_counters_are_rendered_by_label_and_counted_once() -> None:
     metrics = Metrics()
     metrics.requests.inc("draft", "finished")
     metrics.requests.inc("draft", "finished")
@@ -18,7 +18,7 @@
     assert rendered(metrics) == lines
 
 
-def test_histogram_reaches_from_a_ping_to_a_long_draft() -> None:
+def test_duration_buckets_cover_short_and_long_requests() -> None:
     metrics = Metrics()
     for duration_s in (0.02, 0.2, 400):
         metrics.duration_s.observe(duration_s, "draft", "finished")
@@ -31,7 +31,7 @@
     assert counts["+Inf"] == 3
 
 
-def test_stream_gives_one_mean_and_one_longest_gap() -> None:
+def test_stream_observes_one_mean_and_one_longest_gap() -> None:
     metrics = Metrics()
     metrics.observe_stream("draft", first_chunk_s=10.0, last_chunk_s=11.0, chunks=11, max_gap_s=0.4)
     lines = rendered(metrics)
@@ -41,7 +41,7 @@
     assert metrics.token_gap_mean_s.count("draft") == 1
 
 
-def test_gauge_follows_its_reader_and_drops_what_is_gone() -> None:
+def test_gauge_follows_its_reader_and_drops_removed_series() -> None:
     metrics = Metrics()
     depths: dict[tuple[str, ...], float] = {("drafting",): 3.0}
     metrics.queue_depth.read_from(lambda: depths)
@@ -50,7 +50,7 @@
     assert not [line for line in rendered(metrics) if line.startswith("pomelobarrow_queue_depth{")]
 
 
-def test_quote_in_a_label_breaks_no_line() -> None:
+def test_label_values_are_escaped() -> None:
     metrics = Metrics()
     metrics.requests.inc('a"b\nc\\', "finished")
     assert r'pomelobarrow_requests_total{class="a\"b\nc\\",outcome="finished"} 1' in rendered(
--- a/tests/test_request_trail.py
+++ b/tests/test_request_trail.py
@@ -16,7 +16,7 @@
 from pomelobarrow.operators.logs import configure_logs
 from pomelobarrow.operators.metrics import Metrics
 from pomelobarrow.operators.plugin import Observer
-from pomelobarrow.operators.request_trail import Trail, find_trail
+from pomelobarrow.operators.request_trail import RequestTrail, find_trail
 
 Capture = pytest.CaptureFixture[str]
 
@@ -35,7 +35,7 @@
         vm.relay.observe = observer.observe
 
 
-def trail(stream: BytesIO) -> Trail:
+def trail(stream: BytesIO) -> RequestTrail:
     return find_trail("r1", stream.getvalue().decode().splitlines())
 
 
@@ -49,14 +49,14 @@
     ],
     ids=["refused", "outcome unknown", "server's failure", "answered"],
 )
-async def test_cause_is_found_by_the_id(script: Script, cause: str, stream: BytesIO) -> None:
+async def test_cause_is_found_by_request_id(script: Script, cause: str, stream: BytesIO) -> None:
     async with relay_fleet((ONCE,), {"a": {"s1": script}}) as fleet:
         observe(fleet)
         await ask(fleet.vms["a"], "/non_idempotent/")
     assert trail(stream).cause.startswith(cause)
 
 
-async def test_cause_of_a_stream_that_broke_off_is_found(stream: BytesIO) -> None:
+async def test_cause_of_an_interrupted_stream_is_found(stream: BytesIO) -> None:
     async with relay_fleet((UNRESUMABLE,), {"a": {"s1": streams(4, breaks_after=2)}}) as fleet:
         observe(fleet)
         with pytest.raises(Exception, match="not completed|payload"):
@@ -64,7 +64,7 @@
     assert trail(stream).cause.startswith("the stream was broken off: s1 (")
 
 
-async def test_request_without_a_server_was_refused_unsent(stream: BytesIO) -> None:
+async def test_cause_of_a_request_without_a_server_is_found(stream: BytesIO) -> None:
     async with relay_fleet((ONCE,), {"a": {}}) as fleet:
         observe(fleet)
         await ask(fleet.vms["a"], "/non_idempotent/")
@@ -72,7 +72,7 @@
     assert trail(stream).cause == f"refused unsent: this region has no server for it ({seen})"
 
 
-async def test_cause_is_followed_over_a_peer(stream: BytesIO) -> None:
+async def test_cause_of_a_forwarded_request_is_found(stream: BytesIO) -> None:
     bound = route(RouteKind.NON_IDEMPOTENT, home_regions=("b",))
     async with relay_fleet((bound,), {"a": {}, "b": {"s1": resets()}}) as fleet:
         observe(fleet)
@@ -84,7 +84,7 @@
     assert found.cause.startswith("outcome unknown, it may have run: s1 lost after ")
 
 
-def test_missing_lines_prove_nothing() -> None:
+def test_cause_is_unknown_when_lines_are_missing() -> None:
     found = find_trail("r1", ['{"request_id":"r1","event":"relay placed"}', "no JSON r1"])
     assert len(found.lines) == 1
     assert found.cause == "can't be proved: no line 'relay ended' of the VM that took the request"
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -26,7 +26,7 @@
     return {span["span"]: span for span in map(orjson.loads, stream.getvalue().splitlines())}
 
 
-def test_each_hop_is_a_child_of_the_one_before(traces: Traces, stream: io.BytesIO) -> None:
+def test_each_hop_is_a_child_of_the_previous_one(traces: Traces, stream: io.BytesIO) -> None:
     with (
         traces.span("entry", TRACEPARENT, class_name="draft") as entry,
         traces.span("engine", entry.traceparent) as engine,
@@ -53,14 +53,14 @@
     assert entry.trace_id != TRACE_ID
 
 
-def test_unsampled_trace_is_passed_on_but_not_written(traces: Traces, stream: io.BytesIO) -> None:
+def test_unsampled_trace_is_propagated_but_not_written(traces: Traces, stream: io.BytesIO) -> None:
     with traces.span("entry", TRACEPARENT[:-1] + "0") as entry:
         assert entry.traceparent.startswith(f"00-{TRACE_ID}-")
         assert entry.traceparent.endswith("-00")
     assert stream.getvalue() == b""
 
 
-def test_error_is_noted_by_its_type_only(traces: Traces, stream: io.BytesIO) -> None:
+def test_error_is_recorded_by_type_only(traces: Traces, stream: io.BytesIO) -> None:
     with pytest.raises(ValueError, match="contract"), traces.span("entry"):
         raise ValueError("a confidential contract")
     assert spans_of(stream)["entry"]["status"] == "error"
@@ -68,7 +68,7 @@
     assert b"confidential" not in stream.getvalue()
 
 
-def test_traces_that_are_off_pass_the_traceparent_on(stream: io.BytesIO) -> None:
+def test_disabled_traces_propagate_the_traceparent(stream: io.BytesIO) -> None:
     traces = Traces(TraceExporter.OFF, "milan-1", "milan", stream)
     with traces.span("entry", TRACEPARENT) as entry:
         entry.set("server", "drafting-1")
