--- a/src/pomelobarrow/operators/__init__.py
+++ b/src/pomelobarrow/operators/__init__.py
@@ -1,1 +1,1 @@
-"""What operators use: the command line, logs, metrics and traces."""
+"""Command line, logs, metrics and traces for operators."""
--- a/src/pomelobarrow/operators/cli.py
+++ b/src/pomelobarrow/operators/cli.py
@@ -1,4 +1,4 @@
-"""Build the command line and turn every mistake into a message and an exit code."""
+"""Build the command line and report every error as a message and an exit code."""
 
 import importlib
 import sys
@@ -32,10 +32,10 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run one command; return 0 when all is well, 1 on a fault, 2 on wrong usage."""
+    """Run one command; return 0 on success, 1 on a fault, 2 on wrong usage."""
     given = list(sys.argv[1:] if arguments is None else arguments)
     if given in HELP_ONLY:
-        # cleo would explain its list command; the list of commands is what helps here.
+        # cleo would print the help of its `list` command instead of the list of commands.
         given = []
     try:
         return _build_application(given).run(ArgvInput([PROGRAM, *given]))
@@ -44,13 +44,13 @@
     except Exception as error:
         if TRACEBACK_OPTION in given:
             raise
-        remedy = f"add {TRACEBACK_OPTION} for the traceback and report it"
+        remedy = f"run again with {TRACEBACK_OPTION} and report the traceback"
         return _report(f"internal error: {type(error).__name__}: {error}; {remedy}", EXIT_FAULT)
 
 
 def _build_application(arguments: Sequence[str]) -> Application:
     application = Application(PROGRAM, __version__)
-    # cleo would show its own rendering of a traceback and exit with 1 for any mistake.
+    # cleo would print a traceback in its own format and exit with 1 for any error.
     application.catch_exceptions(False)
     application.auto_exits(False)
     for command in COMMANDS:
@@ -61,7 +61,7 @@
 
 
 def _standin_commands(arguments: Sequence[str]) -> Sequence[type[Command]]:
-    """Import the stand-ins only for their own commands and for lists: no daemon loads them."""
+    """Import the stand-ins only for their own commands and for lists, never in a daemon."""
     command_names = {command.name.split()[0] for command in COMMANDS if command.name}
     requested_name = next((each for each in arguments if not each.startswith("-")), "")
     if requested_name in command_names:
@@ -69,7 +69,7 @@
     try:
         commands: Sequence[type[Command]] = importlib.import_module(STANDIN_MODULE).COMMANDS
     except ModuleNotFoundError as error:
-        # A production install may leave the stand-ins out; any other missing module is a fault.
+        # A production install may omit the stand-ins; any other missing module is an error.
         if error.name is None or not STANDIN_MODULE.startswith(error.name):
             raise
         return ()
--- a/src/pomelobarrow/operators/commands/__init__.py
+++ b/src/pomelobarrow/operators/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The commands, one module each."""
+"""The commands of the command line, one module each."""
--- a/src/pomelobarrow/operators/commands/base.py
+++ b/src/pomelobarrow/operators/commands/base.py
@@ -1,4 +1,4 @@
-"""What the commands share: exit codes, required options and plain output."""
+"""Base class of the commands: exit codes, required options and plain output."""
 
 from collections.abc import Iterable
 
@@ -15,10 +15,10 @@
 
 
 class OperatorCommand(Command):
-    """Give commands plain output, in which data never counts as cleo's markup."""
+    """Command whose output is plain, so that cleo never interprets data as markup."""
 
     def required_option(self, name: str) -> str:
-        """Return an option's text or end with a usage error."""
+        """Return the value of an option or raise a usage error."""
         value = self.option(name)
         if not value:
             raise CleoUserError(f"{self.name} needs --{name}")
@@ -33,7 +33,7 @@
         self.io.write_error_line(text, type=Type.RAW)
 
     def fail(self, faults: Iterable[Fault]) -> int:
-        """Print faults and return the exit code that goes with them."""
+        """Print faults and return the exit code for them."""
         for fault in faults:
             self.print_error(str(fault))
         return EXIT_FAULT
--- a/src/pomelobarrow/operators/commands/check.py
+++ b/src/pomelobarrow/operators/commands/check.py
@@ -10,7 +10,7 @@
 
 
 class CheckCommand(OperatorCommand):
-    """Check a settings file whole."""
+    """Command that checks a whole settings file."""
 
     name = "check"
     description = "Check a VM's settings file and name every fault."
@@ -23,7 +23,7 @@
 """
 
     def handle(self) -> int:
-        """Check the file."""
+        """Check the file and print the result."""
         loaded = load_settings(self.required_option("settings"))
         if isinstance(loaded, Err):
             return self.fail(loaded.err_value)
--- a/src/pomelobarrow/operators/commands/config_check.py
+++ b/src/pomelobarrow/operators/commands/config_check.py
@@ -14,7 +14,7 @@
 
 
 class ConfigCheckCommand(OperatorCommand):
-    """Check a file of configuration keys and values whole."""
+    """Command that checks a whole file of configuration keys and values."""
 
     name = "config check"
     description = "Check configuration before it is published and name every fault."
@@ -31,7 +31,7 @@
 """
 
     def handle(self) -> int:
-        """Check the file."""
+        """Check the file and print the result."""
         decoded = read_file(Path(cast(str, self.argument("file"))))
         if isinstance(decoded, Err):
             return self.fail([decoded.err_value])
--- a/src/pomelobarrow/operators/commands/daemon_client.py
+++ b/src/pomelobarrow/operators/commands/daemon_client.py
@@ -1,4 +1,4 @@
-"""Ask a running daemon and show its answer."""
+"""Query a running daemon and print its answer."""
 
 import asyncio
 from collections.abc import Iterator, Mapping
@@ -27,10 +27,10 @@
 
 
 class DaemonQueryCommand(OperatorCommand):
-    """Ask a daemon by one GET and print what it answers."""
+    """Command that sends one GET request to a daemon and prints the answer."""
 
     def print_answer(self, path: str, query: Mapping[str, str]) -> int:
-        """Ask and print."""
+        """Send the request and print the answer."""
         url = _url(self.required_option("address"), path).with_query(query)
         answer = asyncio.run(_get(url, _timeout_s(self.required_option("timeout-s"))))
         if isinstance(answer, Err):
@@ -44,7 +44,7 @@
 
 
 def tree_lines(value: Any, indent: str = "") -> Iterator[str]:
-    """Lay out decoded JSON as indented lines."""
+    """Format decoded JSON as indented lines."""
     pairs = value.items() if isinstance(value, dict) else (("-", each) for each in _as_list(value))
     for key, each in pairs:
         label = f"{indent}{key}" if key == "-" else f"{indent}{key}:"
@@ -93,9 +93,9 @@
         ):
             return _decode(url, response.status, await response.read())
     except TimeoutError:
-        seen, remedy = f"no answer within {timeout_s:g} s", "ask again or give a longer --timeout-s"
+        seen, remedy = f"no answer within {timeout_s:g} s", "try again or give a longer --timeout-s"
     except (aiohttp.ClientError, OSError, ValueError) as error:
-        seen, remedy = str(error) or type(error).__name__, "check the address and that it serves"
+        seen, remedy = str(error) or type(error).__name__, "check the address and the daemon's log"
     return Err(Fault(path=str(url), seen=seen, remedy=remedy))
 
 
@@ -104,7 +104,7 @@
         decoded = orjson.loads(body)
     except orjson.JSONDecodeError:
         seen = f"status {status} without JSON"
-        return Err(Fault(path=str(url), seen=seen, remedy="check that a pomelobarrow serves there"))
+        return Err(Fault(path=str(url), seen=seen, remedy="check that this is a daemon's address"))
     if status == HTTP_OK:
         return Ok(decoded)
     problem = decoded if isinstance(decoded, dict) else {}
--- a/src/pomelobarrow/operators/commands/explain.py
+++ b/src/pomelobarrow/operators/commands/explain.py
@@ -1,4 +1,4 @@
-"""Explain where a request would go now."""
+"""Show where a request would be placed now."""
 
 from cleo.helpers import option
 
@@ -11,7 +11,7 @@
 
 
 class ExplainCommand(DaemonQueryCommand):
-    """Explain a placement without sending anything."""
+    """Command that explains a placement without running a request."""
 
     name = "explain"
     description = "Say where a request of a class and account would go now, and why."
@@ -30,6 +30,6 @@
 """
 
     def handle(self) -> int:
-        """Ask and print."""
+        """Query the daemon and print the answer."""
         query = {name: self.required_option(name) for name in ("class", "account")}
         return self.print_answer("/v1/explain", query)
--- a/src/pomelobarrow/operators/commands/serve.py
+++ b/src/pomelobarrow/operators/commands/serve.py
@@ -10,7 +10,7 @@
 
 
 class ServeCommand(OperatorCommand):
-    """Serve callers on this VM."""
+    """Command that serves callers on this VM."""
 
     name = "serve"
     description = "Serve callers on this VM until told to stop."
@@ -25,13 +25,13 @@
 
     def handle(self) -> int:
         """Load the settings and run until the daemon ends."""
-        # Until the daemon handles it, the signal would end the process.
+        # Until the daemon installs its handler, SIGHUP would end the process.
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
         path = self.required_option("settings")
         loaded = load_settings(path)
         if isinstance(loaded, Err):
             return self.fail(loaded.err_value)
-        # The daemon brings in every room; the other commands needn't wait for that.
+        # Imported late: the daemon loads every package, and the other commands don't need them.
         from pomelobarrow.kernel.daemon import run_daemon
         from pomelobarrow.operators.logs import configure_logs
 
--- a/src/pomelobarrow/operators/commands/status.py
+++ b/src/pomelobarrow/operators/commands/status.py
@@ -9,7 +9,7 @@
 
 
 class StatusCommand(DaemonQueryCommand):
-    """Show what a daemon knows and does."""
+    """Command that prints the status of a running daemon."""
 
     name = "status"
     description = "Show what a running daemon knows and does."
@@ -22,5 +22,5 @@
 """
 
     def handle(self) -> int:
-        """Ask and print."""
+        """Query the daemon and print the answer."""
         return self.print_answer("/v1/status", {})
--- a/src/pomelobarrow/operators/commands/trace_request.py
+++ b/src/pomelobarrow/operators/commands/trace_request.py
@@ -1,4 +1,4 @@
-"""Show one request's way through the logs of all VMs."""
+"""Trace one request through the logs of all VMs."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -13,7 +13,7 @@
 
 
 class TraceRequestCommand(OperatorCommand):
-    """Collect a request's lines and state the cause that they prove."""
+    """Command that prints a request's log lines and the cause of its outcome."""
 
     name = "trace-request"
     description = "Show what the logs of all VMs tell of one request, and the cause."
@@ -28,11 +28,11 @@
 """
 
     def handle(self) -> int:
-        """Read the logs and print."""
+        """Read the logs and print the lines and the cause."""
         try:
             trail = find_trail(self.argument("id"), self._log_lines())
         except OSError as error:
-            fault = Fault(path="log", seen=str(error), remedy="name readable files")
+            fault = Fault(path="log", seen=str(error), remedy="give readable files as --log")
             return self.fail([fault])
         for line in trail.lines:
             self.print_line(_format_line(line))
--- a/src/pomelobarrow/operators/logs.py
+++ b/src/pomelobarrow/operators/logs.py
@@ -1,4 +1,4 @@
-"""Log JSON lines to standard output, each with its request and trace."""
+"""Log JSON lines to standard output, each with its request id and trace id."""
 
 import logging
 import sys
@@ -24,7 +24,7 @@
 Event = MutableMapping[str, Any]
 Processor = Callable[[Any, str, Event], Any]
 
-# Below this level libraries tell of every connection, which a busy VM can't afford.
+# Below this level libraries log every connection, which costs too much on a busy VM.
 LIBRARY_LEVEL = logging.WARNING
 
 
@@ -46,10 +46,10 @@
 
 
 def is_low_priority(line: bytes) -> bool:
-    """Say whether a line may go first when there are too many.
+    """Return whether a line is among the first to be dropped above the rate limit.
 
-    Every line of a request that was answered is ordinary, and so is its placement; a line without
-    an outcome of its own, like the start of this process, is rare and kept.
+    These are lines of level info about a placement or about a request that was answered or passed
+    on. A line without an outcome, such as the start of this process, is rare and is kept.
     """
     if INFO_FIELD not in line:
         return False
@@ -57,7 +57,7 @@
 
 
 def request_logs(request_id: str, trace_id: str = "") -> AbstractContextManager[None]:
-    """Put the request and trace into every event of a block; afterwards they are gone."""
+    """Add the request id and trace id to every event that is logged inside a `with` block."""
     if trace_id:
         return bound_contextvars(request_id=request_id, trace_id=trace_id)
     return bound_contextvars(request_id=request_id)
@@ -68,7 +68,7 @@
         event["vm"] = vm
         return event
 
-    # Local variables stay out of tracebacks: they hold bodies and tokens.
+    # Local variables are left out of tracebacks because they can contain bodies and tokens.
     traceback = ExceptionDictTransformer(show_locals=False)
     return [
         merge_contextvars,
@@ -99,14 +99,14 @@
 
 
 class _LineHandler(logging.Handler):
-    """Write each formatted record as one line."""
+    """Log handler that writes each formatted record as one line."""
 
     def __init__(self, output: LossyStream) -> None:
         super().__init__()
         self._output = output
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one record."""
+        """Format and write a record."""
         try:
             self._output.write(self.format(record).encode() + b"\n")
             self._output.flush()
--- a/src/pomelobarrow/operators/metrics.py
+++ b/src/pomelobarrow/operators/metrics.py
@@ -1,4 +1,4 @@
-"""Count what this VM does, cheaply per request, and render it for Prometheus."""
+"""Collect metrics at a low cost per request and render them for Prometheus."""
 
 from collections.abc import Callable, Mapping
 
@@ -6,7 +6,7 @@
 from aioprometheus.histogram import Histogram as HistogramSeries
 
 CONTENT_TYPE_HEADER = "Content-Type"
-# From a ping's 25 ms to a long draft's ten minutes.
+# From 25 ms for a short service call to ten minutes for a long generation.
 REQUEST_BUCKETS_S = (0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60, 120, 300, 600)
 TOKEN_GAP_BUCKETS_S = (0.005, 0.01, 0.02, 0.03, 0.05, 0.1, 0.2, 0.5, 1)
 
@@ -17,10 +17,10 @@
 
 
 class CounterFamily:
-    """Count events by label values.
+    """Counters of one metric, by label values.
 
-    aioprometheus turns the labels into JSON at each step; here they stay a tuple and the
-    collector is filled when it is rendered.
+    aioprometheus serializes the labels to JSON at each increment. To avoid that cost, counts are
+    kept here under tuples of label values and copied to the collector when it is rendered.
     """
 
     def __init__(self, registry: Registry, name: str, doc: str, labels: LabelValues) -> None:
@@ -29,21 +29,21 @@
         self._counts: dict[LabelValues, float] = {}
 
     def inc(self, *values: str) -> None:
-        """Count one event."""
+        """Increment a counter by one."""
         self._counts[values] = self._counts.get(values, 0) + 1
 
     def value(self, *values: str) -> float:
-        """Return how many events were counted."""
+        """Return the value of a counter."""
         return self._counts.get(values, 0)
 
     def fill(self) -> None:
-        """Bring the collector up to date."""
+        """Copy the counts to the collector."""
         for values, count in self._counts.items():
             self._collector.set(_escaped_labels(self._labels, values), count)
 
 
 class GaugeFamily:
-    """Show present values by label values, set or read when rendered."""
+    """Gauges of one metric, by label values, either set or read from a function when rendered."""
 
     def __init__(self, registry: Registry, name: str, doc: str, labels: LabelValues) -> None:
         self._collector = Gauge(name, doc, registry=registry)
@@ -52,23 +52,23 @@
         self._reader: SeriesReader | None = None
 
     def set(self, value: float, *values: str) -> None:
-        """Set one value."""
+        """Set a gauge."""
         self._values[values] = value
 
     def add(self, change: float, *values: str) -> None:
-        """Change one value."""
+        """Add to a gauge."""
         self._values[values] = self._values.get(values, 0) + change
 
     def read_from(self, reader: SeriesReader) -> None:
-        """Take all values from a function at each rendering."""
+        """Read all values from a function each time the metric is rendered."""
         self._reader = reader
 
     def value(self, *values: str) -> float:
-        """Return one value."""
+        """Return the value of a gauge."""
         return self._series().get(values, 0)
 
     def fill(self) -> None:
-        """Bring the collector up to date and drop series that are no more."""
+        """Copy the values to the collector and remove series that no longer exist."""
         self._collector.values.clear()
         for values, value in self._series().items():
             self._collector.set(_escaped_labels(self._labels, values), value)
@@ -78,7 +78,7 @@
 
 
 class HistogramFamily:
-    """Observe durations by label values."""
+    """Histograms of one duration metric, by label values."""
 
     def __init__(
         self,
@@ -94,28 +94,28 @@
         self._series: dict[LabelValues, HistogramSeries] = {}
 
     def observe(self, value: float, *values: str) -> None:
-        """Take one observation."""
+        """Add an observation."""
         series = self._series.get(values)
         if series is None:
             series = self._series[values] = HistogramSeries(*self._buckets_s)
         series.observe(value)
 
     def count(self, *values: str) -> int:
-        """Return how many observations were taken."""
+        """Return the number of observations."""
         series = self._series.get(values)
         return series.observations if series else 0
 
     def fill(self) -> None:
-        """Bring the collector up to date."""
+        """Copy the histograms to the collector."""
         for values, series in self._series.items():
             self._collector.set_value(_escaped_labels(self._labels, values), series)
 
 
 class Metrics:
-    """Hold every metric of this VM.
+    """All metrics of this VM.
 
     Label values come from the published configuration or from enumerations, never from a caller,
-    so that no caller can grow the number of series.
+    so that no caller can increase the number of series.
     """
 
     def __init__(self) -> None:
@@ -261,14 +261,14 @@
         chunks: int,
         max_gap_s: float,
     ) -> None:
-        """Take the token gaps of one finished stream; one chunk has no gap."""
+        """Observe the token gaps of one finished stream; a stream of one chunk has none."""
         if chunks < 2:
             return
         self.token_gap_mean_s.observe((last_chunk_s - first_chunk_s) / (chunks - 1), class_name)
         self.token_gap_max_s.observe(max_gap_s, class_name)
 
     def render(self) -> tuple[bytes, str]:
-        """Return the metrics in Prometheus's text format and its content type."""
+        """Return the metrics in the Prometheus text format, and the content type."""
         for family in self._families:
             family.fill()
         content, headers = render(self._registry, [])
@@ -276,6 +276,6 @@
 
 
 def _escaped_labels(names: LabelValues, values: LabelValues) -> dict[str, str]:
-    # aioprometheus writes label values as they are; a quote would break the whole answer.
+    # aioprometheus doesn't escape label values; a quote would make the whole response invalid.
     escaped = (value.translate(_ESCAPES) for value in values)
     return dict(zip(names, escaped, strict=True))
--- a/src/pomelobarrow/operators/output.py
+++ b/src/pomelobarrow/operators/output.py
@@ -1,4 +1,4 @@
-"""Write lines for operators without ever failing the work they describe."""
+"""Write log lines and spans without failing or blocking the requests that produce them."""
 
 import contextlib
 import os
@@ -8,52 +8,52 @@
 
 import orjson
 
-# A daemon logs a handful of lines a request. Past this rate, that of some hundred requests a
-# second, lines are dropped: a storm of requests must not become a storm of writes.
+# A daemon logs a few lines per request. Above this rate, reached at some hundred requests per
+# second, lines are dropped so that a burst of requests causes no burst of writes.
 MAX_LINES_PER_S = 1_000.0
 MAX_BURST_LINES = 2_000.0
-# Kept for lines that tell of failures: in a storm they matter, and the many that tell of ordinary
-# successes would leave no room for them.
+# Reserved for lines that report failures. In a burst the far more numerous lines of successful
+# requests would otherwise use up the whole allowance.
 RESERVED_LINES = 1_000.0
 
 
 class ByteStream(Protocol):
-    """Take bytes, as `sys.stderr.buffer` does."""
+    """Binary output stream, such as `sys.stderr.buffer`."""
 
     def write(self, data: bytes, /) -> object:
-        """Take bytes."""
+        """Write bytes."""
 
     def flush(self) -> object:
-        """Pass on what was taken."""
+        """Flush what was written."""
 
 
 class LossyStream:
-    """Drop output that can't be written.
+    """Wrapper of a stream that drops output which can't be written.
 
-    When the reader of stderr has died, a write raises BrokenPipeError inside whatever request
-    logs next, and its caller would see a failure. A lost line is the lesser harm.
+    When the process that reads stderr has died, a write raises BrokenPipeError. Without this
+    wrapper the next request that logs a line would fail; losing the line is preferable.
     """
 
     def __init__(self, stream: ByteStream) -> None:
         self._stream = stream
 
     def write(self, data: bytes) -> int:
-        """Write bytes, or drop them."""
+        """Write bytes, or drop them on an error."""
         with contextlib.suppress(OSError, ValueError):
             self._stream.write(data)
         return len(data)
 
     def flush(self) -> None:
-        """Flush, or drop what can't be."""
+        """Flush the stream and ignore errors."""
         with contextlib.suppress(OSError, ValueError):
             self._stream.flush()
 
 
 class RateLimitedStream:
-    """Write lines without ever waiting for the reader, and say how many were dropped.
+    """Stream that limits the rate of lines, never blocks and reports how many it dropped.
 
-    A reader that stops reading fills the pipe, and the next write would hold up every request of
-    the process until it reads on.
+    When the reader of a pipe stops reading, the pipe fills up and a blocking write would stall all
+    requests of the process until the reader continues.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         self._allowance = MAX_BURST_LINES
         self._refilled_s = clock_s()
         self._dropped = 0
-        # The part of a line that the pipe had no room for.
+        # The remainder of a line that was written in part because the pipe was full.
         self._partial_line = b""
 
     def write(self, data: bytes, /) -> int:
@@ -83,7 +83,7 @@
         return len(data)
 
     def flush(self) -> None:
-        """Do nothing: lines aren't kept back."""
+        """Do nothing, since lines aren't buffered."""
 
     def _take_allowance(self, line: bytes) -> bool:
         now_s = self._clock_s()
@@ -105,13 +105,13 @@
         return orjson.dumps(fields) + b"\n"
 
     def _write_nonblocking(self, data: bytes) -> bool:
-        """Write what fits; say whether the data is written or will be."""
+        """Write what fits and keep the remainder; return whether the data was accepted."""
         try:
             written = self._write(self._partial_line + data)
         except BlockingIOError:
             return False
         except OSError:
-            # The reader is gone for good.
+            # The reader has closed the pipe.
             self._partial_line = b""
             return False
         self._partial_line = (self._partial_line + data)[written:]
@@ -121,9 +121,9 @@
 def rate_limited_stream(
     fd: int, clock_s: Callable[[], float], is_low_priority: Callable[[bytes], bool]
 ) -> RateLimitedStream:
-    """Return a stream to an open file that never waits for its reader."""
+    """Return a rate-limited stream to an open file that never waits for its reader."""
     mode = os.fstat(fd).st_mode
-    # Of a terminal the setting would outlive this process, and files don't make a writer wait.
+    # On a terminal the setting would remain after this process ends, and files never block.
     if stat.S_ISFIFO(mode) or stat.S_ISSOCK(mode):
         os.set_blocking(fd, False)
     return RateLimitedStream(lambda data: os.write(fd, data), clock_s, is_low_priority)
--- a/src/pomelobarrow/operators/plugin.py
+++ b/src/pomelobarrow/operators/plugin.py
@@ -1,4 +1,4 @@
-"""The operators' plug-in: metrics, traces and one log line a request."""
+"""The operators' plug-in: metrics, traces and log lines for events."""
 
 from collections.abc import Callable
 from typing import Any
@@ -37,11 +37,11 @@
 
 
 class Observer:
-    """Count events and log the ones an operator wants to read."""
+    """Observer that updates the metrics and writes the log lines for events."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
-        # Bound once: the lazy logger binds anew at each event.
+        # Bound once, because the lazy logger would create a bound logger for each event.
         self._log = log.bind()
         self._handlers: dict[type, Callable[[Any], None]] = {
             RequestEnded: self._request_ended,
@@ -67,7 +67,7 @@
         }
 
     def observe(self, event: object) -> None:
-        """Take one event; unknown ones are someone else's."""
+        """Handle an event; types without a handler are ignored."""
         handler = self._handlers.get(type(event))
         if handler is not None:
             handler(event)
@@ -131,7 +131,7 @@
         self._log.warning(
             "platform unreachable",
             reason=event.reason,
-            remedy="check platform.addresses; peers keep this VM current meanwhile",
+            remedy="check platform.addresses; until then this VM receives updates from peers",
         )
 
     def _platform_reachable(self, event: PlatformReachable) -> None:
@@ -191,7 +191,7 @@
 
 @hookimpl
 def provide_parts(context: Context) -> None:
-    """Register metrics and traces."""
+    """Register the metrics, the traces and the observer."""
     settings = context.settings
     context.provide(Metrics, lambda _: Metrics())
     context.provide(
@@ -202,7 +202,7 @@
 
 
 class _ObserverPlugin:
-    """Give the hook a place that knows this daemon's metrics."""
+    """Hook implementation that passes events to this daemon's observer."""
 
     def __init__(self, observer: Observer) -> None:
         self._observer = observer
@@ -215,7 +215,7 @@
 
 @hookimpl
 def routes(context: Context) -> list[web.RouteDef]:
-    """Serve the metrics."""
+    """Return the route of the metrics."""
     metrics = context.get(Metrics)
 
     async def render(request: web.Request) -> web.Response:
--- a/src/pomelobarrow/operators/recorded_spans.py
+++ b/src/pomelobarrow/operators/recorded_spans.py
@@ -21,7 +21,7 @@
 
 
 def span_starter(vm: str, region: str, output: LossyStream) -> SpanStarter:
-    """Return what starts the spans of a VM."""
+    """Return a function that starts the spans of a VM."""
     tracer = _build_tracer(vm, region, output)
 
     def start(name: str, parent: str, attributes: Mapping[str, AttributeValue]) -> HopSpan:
@@ -32,7 +32,7 @@
 
 
 class _RecordedSpan:
-    """Record a span; an error is noted by its type only, its message may quote a body."""
+    """Recorded span; of an error only the type is kept, since its message may quote a body."""
 
     __slots__ = ("_span", "traceparent")
 
@@ -62,13 +62,13 @@
 
 
 class _JsonLinesExporter(SpanExporter):
-    """Write each span as one JSON line."""
+    """Exporter that writes each span as one JSON line."""
 
     def __init__(self, output: LossyStream) -> None:
         self._output = output
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
-        """Write spans."""
+        """Write spans as JSON lines."""
         for span in spans:
             self._output.write(orjson.dumps(_span_line(span), option=orjson.OPT_APPEND_NEWLINE))
         self._output.flush()
@@ -78,7 +78,7 @@
 def _build_tracer(vm: str, region: str, output: LossyStream) -> Tracer:
     resource = Resource({"service.name": "pomelobarrow", "vm": vm, "region": region})
     provider = TracerProvider(resource=resource, shutdown_on_exit=False)
-    # The batching processor would bring a thread of its own.
+    # BatchSpanProcessor would start a thread of its own.
     provider.add_span_processor(SimpleSpanProcessor(_JsonLinesExporter(output)))
     return provider.get_tracer("pomelobarrow")
 
--- a/src/pomelobarrow/operators/redaction.py
+++ b/src/pomelobarrow/operators/redaction.py
@@ -1,4 +1,4 @@
-"""Take secrets, tokens and bodies out of log events."""
+"""Redact secrets, tokens and bodies in log events."""
 
 import functools
 import re
@@ -7,25 +7,25 @@
 
 REDACTED = "[redacted]"
 MAX_DEPTH = 6
-# Field names are written in code, so few are seen; the bound is for keys of logged mappings.
+# Field names come from the code and are few; the limit is for the keys of logged mappings.
 MAX_CACHED_KEYS = 1024
 
 _SECRET_KEY_PATTERN = re.compile(
     r"secret|token|authorization|password|api_?key|cookie|body|prompt|content|messages|payload",
     re.IGNORECASE,
 )
-# Counts such as prompt_tokens are no secret; a number under any of these names is kept.
+# Counts such as prompt_tokens are not secret; numbers are kept under any of these names.
 _NON_SECRET_TYPES = (int, float, bool, type(None))
-# Written without IGNORECASE, which makes the search several times slower.
+# Spelled out for both cases, because IGNORECASE makes the search several times slower.
 _CREDENTIALS_PATTERN = re.compile(
     rb"([Bb](?:[Ee][Aa][Rr][Ee][Rr]|[Aa][Ss][Ii][Cc])(?: |\\[tnr])+)[^\s'\"\\,)\]}]+"
 )
 
 
 def redact(logger: Any, method: str, event: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-    """Redact an event's fields by their names; the first two arguments are structlog's."""
+    """Redact an event's fields by their names; this is a structlog processor."""
     for key, value in event.items():
-        # Nearly every field is one of these, and every request logs a dozen.
+        # Fast path for nearly all fields; each request logs a dozen of them.
         if type(value) in _NON_SECRET_TYPES or (type(value) is str and not _is_secret(key)):
             continue
         event[key] = _redact_field(key, value, 0)
@@ -33,7 +33,7 @@
 
 
 def redact_line(line: bytes) -> bytes:
-    """Redact credentials that stand anywhere in a rendered line."""
+    """Redact credentials anywhere in a rendered line."""
     return _CREDENTIALS_PATTERN.sub(rb"\1" + REDACTED.encode(), line)
 
 
@@ -64,7 +64,7 @@
 
 
 def _redact_sequence(values: list[Any], depth: int) -> list[Any]:
-    # Headers come as pairs; the first half is the key.
+    # Headers are logged as pairs of name and value.
     if len(values) == 2 and isinstance(values[0], str | bytes):
         key = values[0] if isinstance(values[0], str) else values[0].decode("latin-1")
         return [key, _redact_field(key, values[1], depth + 1)]
--- a/src/pomelobarrow/operators/request_trail.py
+++ b/src/pomelobarrow/operators/request_trail.py
@@ -1,4 +1,4 @@
-"""Find in the logs of all VMs what became of one request, and why."""
+"""Find the lines of one request in the logs of all VMs and the cause of its outcome."""
 
 from collections.abc import Callable, Iterable, Mapping
 from typing import Any
@@ -16,21 +16,21 @@
 
 @frozen(kw_only=True)
 class RequestTrail:
-    """Hold a request's lines in the order of their times, and the cause that they prove."""
+    """The log lines of a request in order of time, and the cause of its outcome."""
 
     lines: tuple[Line, ...]
     cause: str
 
 
 def find_trail(request_id: str, raw_lines: Iterable[str]) -> RequestTrail:
-    """Collect a request's lines from any number of logs; what isn't JSON is passed over."""
+    """Collect a request's lines from any number of logs; lines that aren't JSON are skipped."""
     lines = [line for raw in raw_lines if (line := _parse(request_id, raw)) is not None]
     lines.sort(key=lambda line: str(line.get("timestamp", "")))
     return RequestTrail(lines=tuple(lines), cause=_cause(lines))
 
 
 def _parse(request_id: str, raw: str) -> Line | None:
-    # Most lines are of other requests, and a collector may have put words before the JSON.
+    # Most lines are of other requests, and a log collector may have put a prefix before the JSON.
     if request_id not in raw:
         return None
     try:
@@ -48,16 +48,16 @@
         if line.get("event") == RELAY_ENDED_EVENT and not line.get("forwarded_by")
     ]
     if not ends:
-        return f"can't be proved: no line '{RELAY_ENDED_EVENT}' of the VM that took the request"
+        return f"unknown: no line '{RELAY_ENDED_EVENT}' of the VM that accepted the request"
     end = ends[-1]
     explain = _EXPLAIN_BY_OUTCOME.get(str(end.get("outcome")))
     if explain is None:
-        return f"can't be proved: outcome {end.get('outcome')!r} is unknown"
+        return f"unknown: outcome {end.get('outcome')!r} is not recognized"
     return explain(end, lines)
 
 
 def _last_attempt(lines: list[Line]) -> Line:
-    """Return the last sending to a backend server, else to a peer, else nothing."""
+    """Return the last attempt at a backend server, else at a peer, else an empty line."""
     attempts = [line for line in lines if line.get("event") == RELAY_ATTEMPT_ENDED_EVENT]
     vms = {line.get("vm") for line in lines}
     server_attempts = [line for line in attempts if line.get("target") not in vms]
@@ -72,13 +72,13 @@
 
 
 def _server_counts(lines: list[Line]) -> str:
-    """Return what the VM knew of servers when it found none."""
+    """Return the numbers of servers that were logged when the request wasn't placed."""
     seen = [line for line in lines if line.get("event") == RELAY_NOT_PLACED_EVENT]
     if not seen:
         return ""
     last = seen[-1]
-    local = f"{last['servers_usable']} of {last['servers_listed']} servers usable here"
-    return f" ({local}, {last['servers_cold']} cold; elsewhere {last['servers_elsewhere']})"
+    local = f"{last['servers_usable']} of {last['servers_listed']} local servers usable"
+    return f" ({local}, {last['servers_cold']} cold; remote {last['servers_elsewhere']})"
 
 
 def _explain_failed(end: Line, lines: list[Line]) -> str:
@@ -98,11 +98,11 @@
 def _explain_answered(end: Line, lines: list[Line]) -> str:
     if int(end.get("status", 0)) >= FIRST_SERVER_ERROR_STATUS:
         return f"{_last_attempt(lines).get('target')} answered {end['status']} itself"
-    return f"no failure: answered {end.get('status')}, the first of it after {_first_answer(end)}"
+    return f"no failure: answered {end.get('status')}, first answer after {_first_answer(end)}"
 
 
 def _explain_client_gone(end: Line, lines: list[Line]) -> str:
-    return f"the client left after {end['took_s']:.3f} s; the first answer: {_first_answer(end)}"
+    return f"client disconnected after {end['took_s']:.3f} s; first answer: {_first_answer(end)}"
 
 
 def _first_answer(end: Line) -> str:
--- a/src/pomelobarrow/operators/traces.py
+++ b/src/pomelobarrow/operators/traces.py
@@ -1,4 +1,4 @@
-"""Trace a span for each hop, passing W3C traceparent in and out; off by default."""
+"""Record a span for each hop and propagate the W3C traceparent; off by default."""
 
 import sys
 from collections.abc import Callable, Mapping
@@ -12,21 +12,21 @@
 
 
 class HopSpan(Protocol):
-    """Cover one hop; use it as a context manager."""
+    """Span of one hop, used as a context manager."""
 
     @property
     def traceparent(self) -> str:
-        """Return what to send to the next hop, or nothing."""
+        """Return the traceparent to send to the next hop, or an empty string."""
 
     @property
     def trace_id(self) -> str:
-        """Return the trace's id for logs, or nothing."""
+        """Return the trace id for logs, or an empty string."""
 
     def set(self, key: str, value: AttributeValue) -> None:
         """Set an attribute."""
 
     def __enter__(self) -> "HopSpan":
-        """Begin."""
+        """Enter the span."""
 
     def __exit__(
         self,
@@ -34,15 +34,15 @@
         error: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        """End."""
+        """End the span."""
 
 
-# Starts a span with a name under a traceparent, with attributes.
+# Starts a span from its name, the parent's traceparent and attributes.
 SpanStarter = Callable[[str, str, Mapping[str, AttributeValue]], HopSpan]
 
 
 class Traces:
-    """Start the spans of this VM."""
+    """Factory for the spans of this VM."""
 
     def __init__(
         self,
@@ -53,20 +53,20 @@
     ) -> None:
         self._start: SpanStarter | None = None
         if exporter is TraceExporter.STDERR:
-            # Importing the SDK takes a fifth of a daemon's start; few daemons trace.
+            # Importing the SDK takes a fifth of a daemon's start-up time, and few daemons trace.
             from pomelobarrow.operators.recorded_spans import span_starter
 
             self._start = span_starter(vm, region, LossyStream(stream or sys.stderr.buffer))
 
     def span(self, name: str, parent: str = "", **attributes: AttributeValue) -> HopSpan:
-        """Start a span under a traceparent, or a new trace when it has none or a bad one."""
+        """Start a span under a traceparent, or a new trace if that is missing or invalid."""
         if self._start is None:
             return _PassthroughSpan(parent)
         return self._start(name, parent, attributes)
 
 
 class _PassthroughSpan:
-    """Pass the caller's traceparent on unchanged and record nothing."""
+    """Span that propagates the caller's traceparent unchanged and records nothing."""
 
     __slots__ = ("traceparent",)
 
@@ -88,6 +88,6 @@
 
 
 def trace_id_of(traceparent: str) -> str:
-    """Return the trace id inside a traceparent, or nothing."""
+    """Return the trace id of a traceparent, or an empty string."""
     parts = traceparent.split("-")
     return parts[1] if len(parts) == 4 else ""
--- a/tests/operator_examples.py
+++ b/tests/operator_examples.py
@@ -1,4 +1,4 @@
-"""Valid settings and configuration to start from."""
+"""Examples of valid settings and configuration for tests."""
 
 import hashlib
 from typing import Any
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -164,8 +164,8 @@
 
 
 async def test_unresponsive_daemon_is_a_fault(capsys: Capture) -> None:
-    # The operator sees nothing at all: the daemon's process is stopped, its kernel still accepts
-    # the connection, and no byte ever comes back. The command must end by its own deadline.
+    # When the daemon's process is stopped, the kernel still accepts the connection but no byte is
+    # returned. Without a time-out of its own the command would wait forever.
     async def never_answer(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read()
         writer.close()
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -90,8 +90,8 @@
 
 
 def test_broken_output_pipe_does_not_fail_requests() -> None:
-    # The caller sees a failed request: whatever read stderr has died, the next log line raises
-    # BrokenPipeError in the middle of a request. Lines are dropped instead.
+    # After the reader of the log output has died, writing a line raises BrokenPipeError in the
+    # middle of a request. The line must be dropped, or the caller would see a failed request.
     class DeadPipe(io.BytesIO):
         def write(self, data: Any) -> int:
             raise BrokenPipeError
@@ -104,7 +104,7 @@
 
 
 class Pipe:
-    """Take as many bytes as there is room for, as a pipe whose reader may stop does."""
+    """Non-blocking pipe that accepts a limited number of bytes, as if its reader had stopped."""
 
     def __init__(self, free_bytes: int) -> None:
         self.free_bytes = free_bytes
@@ -120,10 +120,10 @@
 
 
 def test_full_pipe_drops_lines_without_blocking() -> None:
-    """The reader of the logs stops and the pipe is full; a request logs a line.
+    """Guard against a process that blocks because the reader of its logs has stopped.
 
-    A blocking write would hold up the process. The line is dropped, the half one is finished
-    first when there is room again, and a note tells how many are missing.
+    Lines are dropped while the pipe is full. Once it accepts data again, the partly written line
+    is completed first, and a notice reports how many lines were dropped.
     """
     pipe = Pipe(free_bytes=6)
     output = RateLimitedStream(pipe.write, lambda: 0.0)
@@ -149,10 +149,10 @@
 
 
 def test_refusals_are_logged_while_successes_exceed_the_rate_limit() -> None:
-    """Thousands of requests are answered in a second and a few are refused.
+    """Guard against losing the lines of refused requests in a burst of answered ones.
 
-    Cut off at the bound alone, the lines of the refused ones would be missing with the others, and
-    nobody could find out afterwards why they were.
+    With thousands of answered requests in a second, a rate limit that treats all lines alike would
+    drop the lines of the few refusals too, and their cause couldn't be found.
     """
     pipe = Pipe(free_bytes=10**9)
     output = RateLimitedStream(pipe.write, lambda: 0.0, is_low_priority)
--- a/tests/test_request_trail.py
+++ b/tests/test_request_trail.py
@@ -1,4 +1,4 @@
-"""From the logs alone: the cause of an injected fault is found by the request's id."""
+"""Check that the logs and a request's id suffice to find the cause of an injected fault."""
 
 from collections.abc import Iterator
 from io import BytesIO
@@ -45,7 +45,7 @@
         (refuses(), "refused unrun: s1 refused unrun (status 503)"),
         (resets(), "outcome unknown, it may have run: s1 lost after "),
         (answers(500), "s1 answered 500 itself"),
-        (answers(), "no failure: answered 200, the first of it after "),
+        (answers(), "no failure: answered 200, first answer after "),
     ],
     ids=["refused", "outcome unknown", "server's failure", "answered"],
 )
@@ -68,7 +68,7 @@
     async with relay_fleet((ONCE,), {"a": {}}) as fleet:
         observe(fleet)
         await ask(fleet.vms["a"], "/non_idempotent/")
-    seen = "0 of 0 servers usable here, 0 cold; elsewhere {}"
+    seen = "0 of 0 local servers usable, 0 cold; remote {}"
     assert trail(stream).cause == f"refused unsent: this region has no server for it ({seen})"
 
 
@@ -77,7 +77,8 @@
     async with relay_fleet((bound,), {"a": {}, "b": {"s1": resets()}}) as fleet:
         observe(fleet)
         await ask(fleet.vms["a"], "/non_idempotent/")
-    # Both relays of this process log as one VM; the lines that name the server are the peer's.
+    # Both relays run in this process and log the same VM name. The lines that name the server come
+    # from the peer, so they get its VM name here.
     lines = stream.getvalue().decode().splitlines()
     own = [line.replace('"vm":"vm-a"', '"vm":"vm-b"') if '"s1"' in line else line for line in lines]
     found = find_trail("r1", own)
@@ -87,7 +88,7 @@
 def test_cause_is_unknown_when_lines_are_missing() -> None:
     found = find_trail("r1", ['{"request_id":"r1","event":"relay placed"}', "no JSON r1"])
     assert len(found.lines) == 1
-    assert found.cause == "can't be proved: no line 'relay ended' of the VM that took the request"
+    assert found.cause == "unknown: no line 'relay ended' of the VM that accepted the request"
 
 
 def test_command_prints_lines_and_cause(tmp_path: Path, capsys: Capture) -> None:
@@ -104,4 +105,4 @@
 
 def test_unreadable_log_is_a_fault(tmp_path: Path, capsys: Capture) -> None:
     assert cli.main(["trace-request", "--log", str(tmp_path / "none.log"), "r1"]) == 1
-    assert "name readable files" in capsys.readouterr().err
+    assert "give readable files as --log" in capsys.readouterr().err
