--- a/src/pomelobarrow/standin/load.py
+++ b/src/pomelobarrow/standin/load.py
@@ -12,7 +12,12 @@
 
 from pomelobarrow.standin.load_entries import EntryBook, NoEntryError
 from pomelobarrow.standin.load_plan import LoadPlan, WorkPlan, make_body, read_plan
-from pomelobarrow.standin.load_results import ClassResults, Outcome, judge_chat, judge_service
+from pomelobarrow.standin.load_results import (
+    ClassResults,
+    Outcome,
+    classify_chat_answer,
+    classify_service_answer,
+)
 
 CHAT_PATH = "/v1/chat/completions"
 # Gives the gateway time to say itself that the deadline passed.
@@ -90,9 +95,11 @@
             first_byte_s = loop.time() - due_at_s
             answer = first + await response.read()
         if self.plan.service_path:
-            outcome, kind = judge_service(body, response.status, answer)
+            outcome, kind = classify_service_answer(body, response.status, answer)
         else:
-            outcome, kind = judge_chat(body, response.status, response.content_type, answer)
+            outcome, kind = classify_chat_answer(
+                body, response.status, response.content_type, answer
+            )
         if outcome is Outcome.ANSWERED:
             self.results.first_byte_s.append(first_byte_s)
             self.results.end_s.append(loop.time() - due_at_s)
--- a/src/pomelobarrow/standin/load_results.py
+++ b/src/pomelobarrow/standin/load_results.py
@@ -71,7 +71,7 @@
     return parsed if isinstance(parsed, dict) else {}
 
 
-def judge_chat(
+def classify_chat_answer(
     body: Mapping[str, Any], status: int, content_type: str, answer: bytes
 ) -> tuple[Outcome, str]:
     """Judge the answer to a chat request; a problem's kind comes with it."""
@@ -86,7 +86,9 @@
     return (Outcome.ANSWERED if text == expected_answer(body) else Outcome.WRONG), ""
 
 
-def judge_service(body: Mapping[str, Any], status: int, answer: bytes) -> tuple[Outcome, str]:
+def classify_service_answer(
+    body: Mapping[str, Any], status: int, answer: bytes
+) -> tuple[Outcome, str]:
     """Judge the answer of a plain service, which echoes the body."""
     parsed = parse_object(answer)
     if status != 200:
--- a/tests/test_standin_load.py
+++ b/tests/test_standin_load.py
@@ -12,7 +12,7 @@
 
 from pomelobarrow.standin.answer import DONE_EVENT, event, expected_answer, token_event
 from pomelobarrow.standin.load import LoadOptions, main
-from pomelobarrow.standin.load_results import Outcome, judge_chat, percentiles
+from pomelobarrow.standin.load_results import Outcome, classify_chat_answer, percentiles
 from pomelobarrow.standin.runtime import start_app
 
 BODY = {"messages": [{"role": "user", "content": "?"}], "max_tokens": 1}
@@ -82,7 +82,7 @@
     ],
 )
 def test_stream_is_judged_by_its_end_and_text(answer: bytes, outcome: Outcome) -> None:
-    assert judge_chat(BODY, 200, "text/event-stream", answer)[0] is outcome
+    assert classify_chat_answer(BODY, 200, "text/event-stream", answer)[0] is outcome
 
 
 def test_percentiles_are_nearest_rank() -> None:
