--- a/src/pomelobarrow/standin/__init__.py
+++ b/src/pomelobarrow/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform, engines, services and the network, for tests and demos."""
+"""Simulated platform, engine, service and network processes (stand-ins) for tests and demos."""
--- a/src/pomelobarrow/standin/__main__.py
+++ b/src/pomelobarrow/standin/__main__.py
@@ -1,4 +1,4 @@
-"""Run one stand-in: `python -m pomelobarrow.standin engine --listen 127.0.0.1:0`."""
+"""Run a stand-in: `python -m pomelobarrow.standin engine --listen 127.0.0.1:0`."""
 
 import sys
 
@@ -9,7 +9,7 @@
 
 
 def main() -> int:
-    """Run the stand-in that the first argument names."""
+    """Run the stand-in given by the first argument."""
     application = Application("pomelobarrow")
     for command in COMMANDS:
         application.add(command())
--- a/src/pomelobarrow/standin/answer.py
+++ b/src/pomelobarrow/standin/answer.py
@@ -1,4 +1,4 @@
-"""Make the engine's answers, deterministic so that a test can verify them whole."""
+"""Build engine answers as a function of the request, so that tests can verify the text."""
 
 import hashlib
 from collections.abc import Mapping
@@ -12,29 +12,29 @@
 
 
 def max_tokens(body: Mapping[str, Any]) -> int:
-    """Return the number of tokens to answer with."""
+    """Return the number of output tokens that the request asks for."""
     return max(1, int(body.get("max_tokens") or DEFAULT_MAX_TOKENS))
 
 
-def digest8(body: Mapping[str, Any]) -> str:
-    """Digest the fields that a gateway passes on unchanged."""
-    picked = {name: body[name] for name in DIGEST_FIELDS if name in body}
-    return hashlib.sha256(orjson.dumps(picked, option=orjson.OPT_SORT_KEYS)).hexdigest()[:8]
+def body_digest(body: Mapping[str, Any]) -> str:
+    """Return a short digest of the fields that a gateway forwards unchanged."""
+    selected = {name: body[name] for name in DIGEST_FIELDS if name in body}
+    return hashlib.sha256(orjson.dumps(selected, option=orjson.OPT_SORT_KEYS)).hexdigest()[:8]
 
 
 def token(digest: str, index: int) -> str:
-    """Return one token's text."""
+    """Return the text of the token at an index."""
     return f"{digest}-{index} "
 
 
 def expected_answer(body: Mapping[str, Any]) -> str:
-    """Return the whole text that an engine answers to this body."""
-    digest = digest8(body)
+    """Return the complete text that an engine answers to a request body."""
+    digest = body_digest(body)
     return "".join(token(digest, index) for index in range(max_tokens(body)))
 
 
 def usage(prompt_tokens: int, cached_tokens: int, output_tokens: int) -> dict[str, Any]:
-    """Count the tokens of an answer."""
+    """Build the usage object of an answer."""
     return {
         "prompt_tokens": prompt_tokens,
         "completion_tokens": output_tokens,
@@ -44,14 +44,14 @@
 
 
 def event(payload: Any) -> bytes:
-    """Frame one server-sent event."""
+    """Encode a payload as a server-sent event."""
     return b"data: " + orjson.dumps(payload) + b"\n\n"
 
 
 def token_event(
     request_id: str, model: str, text: str, last_usage: Mapping[str, Any] | None
 ) -> bytes:
-    """Frame one token; the last one carries the finish reason and the usage."""
+    """Encode one token as an event; the last one carries the finish reason and the usage."""
     choice = {
         "index": 0,
         "delta": {"content": text},
@@ -68,10 +68,8 @@
     return event(payload)
 
 
-def whole_answer(
-    request_id: str, model: str, text: str, tokens: Mapping[str, Any]
-) -> dict[str, Any]:
-    """Build the answer to a request that isn't streamed."""
+def completion(request_id: str, model: str, text: str, tokens: Mapping[str, Any]) -> dict[str, Any]:
+    """Build the response body of a request without streaming."""
     message = {"role": "assistant", "content": text}
     return {
         "id": request_id,
--- a/src/pomelobarrow/standin/commands.py
+++ b/src/pomelobarrow/standin/commands.py
@@ -1,4 +1,4 @@
-"""Expose the stand-ins on the command line; options come from each one's option class."""
+"""Define a command for each stand-in, with options taken from its options class."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -18,14 +18,14 @@
 
 @attrs.frozen
 class Program:
-    """Pair a stand-in's options with what runs it."""
+    """Options class and main coroutine of a stand-in."""
 
     options_class: type[Any]
     main: Main
 
 
 def cleo_options(options_class: type[Any]) -> list[Option]:
-    """Declare one option for each field of a class."""
+    """Build a command-line option for each field of an options class."""
     return [_cleo_option(attribute) for attribute in attrs.fields(options_class)]
 
 
@@ -52,12 +52,12 @@
     program: ClassVar[Program]
 
     def handle(self) -> int:
-        """Run the stand-in until it is told to stop."""
+        """Run the stand-in until it is stopped."""
         names = [attribute.name for attribute in attrs.fields(self.program.options_class)]
         given = {name: self.option(_option_name(name)) for name in names}
         missing = [_option_name(name) for name, value in given.items() if value is None]
         if missing:
-            self.line_error(f"<error>give --{' --'.join(missing)}</error>")
+            self.line_error(f"<error>missing options: --{' --'.join(missing)}</error>")
             return EXIT_USAGE
         asyncio.run(self.program.main(cattrs.structure(given, self.program.options_class)))
         return 0
--- a/src/pomelobarrow/standin/engine.py
+++ b/src/pomelobarrow/standin/engine.py
@@ -1,4 +1,4 @@
-"""Stand in for a continuously batching engine."""
+"""Simulate an inference engine with continuous batching."""
 
 import asyncio
 import time
@@ -16,14 +16,14 @@
 from pomelobarrow.standin.runtime import (
     MAX_BODY_BYTES,
     gate_middleware,
-    limit_signal,
+    limit_header_signal,
     serve_app,
 )
 
 
 @frozen(kw_only=True)
 class EngineOptions:
-    """Hold the command line of the engine stand-in."""
+    """Command-line options of the simulated engine."""
 
     listen: str = field(metadata={"help": "Address to listen on, host:port"})
     name: str = field(default="engine", metadata={"help": "Name in load reports"})
@@ -44,14 +44,14 @@
 
 
 def new_engine(options: EngineOptions) -> Engine:
-    """Make an engine in its first state; needs the running loop."""
+    """Build an engine; call it inside a running event loop."""
     cache = PrefixCache(
         max_blocks=options.cache_blocks,
         event_lag_s=options.event_lag_s,
         event_loss_every=options.event_loss_every,
     )
 
-    def find_cached(sequence: Sequence) -> int:
+    def count_cached_tokens(sequence: Sequence) -> int:
         return cache.match(sequence.blocks) * BLOCK_TOKENS
 
     def store_cached(sequence: Sequence) -> None:
@@ -61,7 +61,7 @@
         slots=options.slots,
         prefill_tokens_per_step=options.prefill_tokens_per_step,
         kv_capacity_tokens=options.kv_capacity_tokens,
-        find_cached=find_cached,
+        count_cached_tokens=count_cached_tokens,
         store_cached=store_cached,
     )
     return Engine(
@@ -75,15 +75,15 @@
 
 
 async def main(options: EngineOptions) -> None:
-    """Serve the engine until told to stop."""
+    """Serve the engine until the process is stopped."""
     engine = new_engine(options)
     report = LaggingReport(engine.measure, options.report_lag_s)
     app = web.Application(
         middlewares=[gate_middleware(engine.gate)], client_max_size=MAX_BODY_BYTES
     )
-    app.on_response_prepare.append(limit_signal(lambda: engine.limit_per_s))
+    app.on_response_prepare.append(limit_header_signal(lambda: engine.limit_per_s))
     app.add_routes(routes(engine, report))
     async with asyncio.TaskGroup() as tasks:
         measuring = tasks.create_task(report.keep_measuring())
-        await serve_app(app, options.listen, cancel_when_lost=True)
+        await serve_app(app, options.listen, cancel_on_disconnect=True)
         measuring.cancel()
--- a/src/pomelobarrow/standin/engine_routes.py
+++ b/src/pomelobarrow/standin/engine_routes.py
@@ -1,4 +1,4 @@
-"""Serve an engine over HTTP."""
+"""Provide the HTTP handlers of the simulated engine."""
 
 import time
 
@@ -10,8 +10,8 @@
 from pomelobarrow.standin.load_report import LaggingReport
 from pomelobarrow.standin.run_log import RunState, runs_payload
 from pomelobarrow.standin.runtime import (
-    crash_if_named,
-    json_answer,
+    crash_if_body_contains,
+    json_response,
     read_json,
     refused_unrun,
 )
@@ -20,7 +20,7 @@
 
 
 async def send_events(response: web.StreamResponse, job: Job, start: int) -> int:
-    """Send the events there are from one on; return the number of the next one."""
+    """Send the available events from an index on; return the index of the next event."""
     end = job.sequence.output_tokens
     if end <= start:
         return start
@@ -29,7 +29,7 @@
 
 
 async def stream_answer(request: web.Request, job: Job, offset: int = 0) -> web.StreamResponse:
-    """Send a job's events from an offset on; the status line says that it started."""
+    """Stream a job's events from an offset on; the status line is sent once the job starts."""
     with job.reading() as reader:
         await wait_until_started(job, reader)
         if job.sequence.state is RunState.NOT_RUN:
@@ -48,27 +48,27 @@
         return response
 
 
-async def whole_answer(request: web.Request, job: Job) -> web.StreamResponse:
-    """Send a job's answer in one piece."""
+async def send_completion(request: web.Request, job: Job) -> web.StreamResponse:
+    """Send a job's answer without streaming."""
     with job.reading() as reader:
         await wait_until_ended(job, reader)
     if job.sequence.state is RunState.NOT_RUN:
         return refused_unrun("cancelled")
     if job.sequence.state is RunState.CANCELLED:
-        return json_answer(CANCELLED, status=500)
-    return json_answer(job.whole())
+        return json_response(CANCELLED, status=500)
+    return json_response(job.completion())
 
 
 def routes(engine: Engine, report: LaggingReport) -> list[web.RouteDef]:
-    """Bind the engine's handlers."""
+    """Return the routes of the engine."""
 
     async def complete(request: web.Request) -> web.StreamResponse:
         body = await read_json(request)
         if reason := engine.refusal_reason(request.headers.get("X-Request-Id", "")):
             return refused_unrun(reason)
-        await crash_if_named(request, engine.crash_on)
+        await crash_if_body_contains(request, engine.crash_on)
         job = engine.accept(request.headers, body)
-        send = stream_answer if body.get("stream") else whole_answer
+        send = stream_answer if body.get("stream") else send_completion
         try:
             return await send(request, job)
         finally:
@@ -77,7 +77,9 @@
     async def resume(request: web.Request) -> web.StreamResponse:
         job = engine.find_job(request.match_info["id"])
         if job is None:
-            raise web.HTTPNotFound(text="the request isn't kept; send it anew if it may repeat")
+            raise web.HTTPNotFound(
+                text="the request is not stored; send it again if it may be repeated"
+            )
         try:
             return await stream_answer(request, job, int(request.query.get("offset", "0")))
         finally:
@@ -85,25 +87,25 @@
 
     async def cancel(request: web.Request) -> web.Response:
         outcome = engine.cancel(request.match_info["id"])
-        return json_answer({"outcome": outcome, "uptime_s": engine.uptime_s()})
+        return json_response({"outcome": outcome, "uptime_s": engine.uptime_s()})
 
     async def load(request: web.Request) -> web.Response:
-        return json_answer(report.published())
+        return json_response(report.published())
 
     async def cache_events(request: web.Request) -> web.Response:
         after = int(request.query.get("after", "0"))
-        return json_answer(engine.cache.events_after(after, time.time()))
+        return json_response(engine.cache.events_after(after, time.time()))
 
-    async def take_order(request: web.Request) -> web.Response:
-        is_taken = engine.orders.take(await read_json(request))
-        payload = {"accepted": is_taken, "fencing": engine.orders.fencing}
-        return json_answer(payload, status=200 if is_taken else 409)
+    async def accept_order(request: web.Request) -> web.Response:
+        is_accepted = engine.orders.take(await read_json(request))
+        payload = {"accepted": is_accepted, "fencing": engine.orders.fencing}
+        return json_response(payload, status=200 if is_accepted else 409)
 
     async def list_orders(request: web.Request) -> web.Response:
-        return json_answer({"orders": engine.orders.log})
+        return json_response({"orders": engine.orders.log})
 
     async def runs(request: web.Request) -> web.Response:
-        return json_answer(runs_payload(engine.runs))
+        return json_response(runs_payload(engine.runs))
 
     async def set_mode(request: web.Request) -> web.Response:
         body = await read_json(request)
@@ -113,7 +115,7 @@
         engine.limit_per_s = body.get("limit_per_s", engine.limit_per_s)
         engine.step_s = body.get("step_s", engine.step_s)
         engine.set_frozen(body.get("frozen", not engine.gate.opened.is_set()))
-        return json_answer({"leaving": engine.leaving, "refuse": engine.refuse})
+        return json_response({"leaving": engine.leaving, "refuse": engine.refuse})
 
     return [
         web.post("/v1/chat/completions", complete),
@@ -121,7 +123,7 @@
         web.delete("/v1/requests/{id}", cancel),
         web.get("/v1/load", load),
         web.get("/v1/cache/events", cache_events),
-        web.post("/v1/orders", take_order),
+        web.post("/v1/orders", accept_order),
         web.get("/admin/orders", list_orders),
         web.get("/admin/runs", runs),
         web.post("/admin/mode", set_mode),
--- a/src/pomelobarrow/standin/fault_proxy.py
+++ b/src/pomelobarrow/standin/fault_proxy.py
@@ -1,4 +1,4 @@
-"""Stand between processes and inject delay and faults into their TCP connections."""
+"""Run a TCP proxy that injects delay and faults into connections."""
 
 import asyncio
 from typing import Any
@@ -7,12 +7,12 @@
 from attrs import define, field, frozen
 
 from pomelobarrow.standin.fault_rules import Direction, parse_order
-from pomelobarrow.standin.relay import ClientSide, Route
+from pomelobarrow.standin.relay import ClientProtocol, Route
 from pomelobarrow.standin.runtime import (
     LISTEN_BACKLOG,
     announce,
     format_address,
-    json_answer,
+    json_response,
     parse_address,
     read_json,
     start_app,
@@ -24,7 +24,7 @@
 
 @frozen(kw_only=True)
 class ProxyOptions:
-    """Hold the command line of the fault-injecting proxy."""
+    """Command-line options of the fault-injecting proxy."""
 
     listen: str = field(default="", metadata={"help": "Address of the route named default"})
     target: str = field(default="", metadata={"help": "Target of the route named default"})
@@ -39,19 +39,19 @@
 
 @define
 class Proxy:
-    """Hold the routes and their listeners."""
+    """TCP proxy with one listener per route."""
 
     routes: dict[str, Route] = field(factory=dict)
     _servers: list[asyncio.Server] = field(factory=list)
 
     async def open(self, route: Route, listen: str) -> Route:
-        """Listen for a route; one of a known name only gets its target and delay changed."""
+        """Start to listen for a route; if the name exists, change only its target and delay."""
         if known := self.routes.get(route.name):
             known.target, known.delay_s = route.target, route.delay_s
             return known
         host, port = parse_address(listen)
         server = await asyncio.get_running_loop().create_server(
-            lambda: ClientSide(route), host, port, backlog=LISTEN_BACKLOG
+            lambda: ClientProtocol(route), host, port, backlog=LISTEN_BACKLOG
         )
         self._servers.append(server)
         route.listening = format_address(server.sockets[0].getsockname())
@@ -59,7 +59,7 @@
         return route
 
     def addresses(self) -> dict[str, str]:
-        """Return where each route listens."""
+        """Return the listening address of each route."""
         return {name: route.listening for name, route in self.routes.items()}
 
     def close(self) -> None:
@@ -69,14 +69,14 @@
 
 
 def parse_route(text: str) -> tuple[Route, str]:
-    """Read `name=listen,target,delay`; the delay may be left out."""
+    """Parse `name=listen,target,delay`; the delay is optional."""
     name, _, rest = text.partition("=")
     listen, target, *delay = rest.split(",")
     return Route(name, target, float(delay[0]) if delay else 0.0), listen
 
 
 def route_payload(route: Route) -> dict[str, Any]:
-    """Tell a route's state and what went through it."""
+    """Build the status of a route with its connection and byte counts."""
     return {
         "listening": route.listening,
         "target": route.target,
@@ -84,36 +84,38 @@
         "mode": route.fault.value,
         "accepted": route.accepted,
         "open": len(route.connections),
-        "kept_by_client": sum(not each.is_left_by_client for each in route.connections),
+        "kept_by_client": sum(
+            not connection.is_closed_by_client for connection in route.connections
+        ),
         "bytes_to_target": route.delivered_bytes(Direction.TO_TARGET),
         "bytes_to_client": route.delivered_bytes(Direction.TO_CLIENT),
     }
 
 
 def control_routes(proxy: Proxy) -> list[web.RouteDef]:
-    """Bind the control handlers."""
+    """Return the routes of the control interface."""
 
     async def set_faults(request: web.Request) -> web.Response:
         try:
             order = parse_order(await read_json(request))
         except ValueError as error:
             raise web.HTTPBadRequest(text=str(error)) from error
-        concerned = [route for name, route in proxy.routes.items() if order.concerns(name)]
-        if not concerned:
-            raise web.HTTPNotFound(text=f"name one of {', '.join(proxy.routes)}")
-        for route in concerned:
-            route.obey(order)
-        return json_answer({"routes": [route.name for route in concerned]})
+        affected = [route for name, route in proxy.routes.items() if order.applies_to(name)]
+        if not affected:
+            raise web.HTTPNotFound(text=f"no such route; use one of {', '.join(proxy.routes)}")
+        for route in affected:
+            route.apply_order(order)
+        return json_response({"routes": [route.name for route in affected]})
 
     async def show_faults(request: web.Request) -> web.Response:
         routes = {name: route_payload(route) for name, route in proxy.routes.items()}
-        return json_answer({"routes": routes})
+        return json_response({"routes": routes})
 
     async def open_route(request: web.Request) -> web.Response:
         body = await read_json(request)
         route = Route(body["name"], body["target"], float(body.get("delay_s", 0.0)))
         opened = await proxy.open(route, body.get("listen", "127.0.0.1:0"))
-        return json_answer({"listening": opened.listening})
+        return json_response({"listening": opened.listening})
 
     return [
         web.post("/faults", set_faults),
@@ -123,7 +125,7 @@
 
 
 async def main(options: ProxyOptions) -> None:
-    """Relay until told to stop."""
+    """Relay until the process is stopped."""
     proxy = Proxy()
     for route, listen in map(parse_route, options.route):
         await proxy.open(route, listen)
--- a/src/pomelobarrow/standin/fault_rules.py
+++ b/src/pomelobarrow/standin/fault_rules.py
@@ -1,4 +1,4 @@
-"""State what each fault does to a connection."""
+"""Define the faults of the proxy and parse the orders that set them."""
 
 import enum
 from fnmatch import fnmatchcase
@@ -8,14 +8,14 @@
 
 
 class Direction(enum.Enum):
-    """Name a direction through the proxy."""
+    """Direction of bytes through the proxy."""
 
     TO_TARGET = "to_target"
     TO_CLIENT = "to_client"
 
 
 class Fault(enum.Enum):
-    """Name a fault."""
+    """Fault that the proxy applies to a route or connection."""
 
     PASS = "pass"
     REFUSE = "refuse"
@@ -26,24 +26,24 @@
     CLOSE = "close"
 
 
-BOTH = frozenset(Direction)
-# A held direction keeps its bytes and delivers them once it heals, as TCP does.
-HELD_BY_FAULT = {
+BOTH_DIRECTIONS = frozenset(Direction)
+# A held direction queues its bytes and delivers them when the fault ends, as TCP does.
+HELD_DIRECTIONS_BY_FAULT = {
     Fault.PASS: frozenset[Direction](),
     Fault.REFUSE: frozenset[Direction](),
-    Fault.CUT: BOTH,
+    Fault.CUT: BOTH_DIRECTIONS,
     Fault.CUT_TO_TARGET: frozenset({Direction.TO_TARGET}),
     Fault.CUT_TO_CLIENT: frozenset({Direction.TO_CLIENT}),
-    Fault.SILENT: BOTH,
+    Fault.SILENT: BOTH_DIRECTIONS,
     Fault.CLOSE: frozenset[Direction](),
 }
-# Faults that a connection doesn't recover from when its route passes again.
-LASTING = frozenset({Fault.SILENT, Fault.REFUSE, Fault.CLOSE})
+# Faults from which a connection does not recover when the route's fault ends.
+PERMANENT_FAULTS = frozenset({Fault.SILENT, Fault.REFUSE, Fault.CLOSE})
 
 
 @frozen(kw_only=True)
 class Trigger:
-    """Apply a fault to a connection once so many bytes went one way."""
+    """Fault to apply to a connection after a number of bytes in one direction."""
 
     direction: Direction
     after_bytes: int
@@ -51,15 +51,15 @@
 
 
 @frozen(kw_only=True)
-class Order:
-    """Hold one checked `POST /faults`."""
+class FaultOrder:
+    """Validated body of a `POST /faults` request."""
 
     routes: str
     fault: Fault
     trigger: Trigger | None = None
 
-    def concerns(self, route_name: str) -> bool:
-        """Say whether the order is for a route."""
+    def applies_to(self, route_name: str) -> bool:
+        """Return whether the order applies to a route."""
         return fnmatchcase(route_name, self.routes)
 
 
@@ -70,15 +70,15 @@
 }
 
 
-def parse_order(body: dict[str, Any]) -> Order:
-    """Check a fault order; ValueError says what is wrong."""
+def parse_order(body: dict[str, Any]) -> FaultOrder:
+    """Parse and validate a fault order; raise ValueError if it is invalid."""
     routes = str(body.get("route") or body.get("routes") or "*")
     is_truncation = "truncate_to_client_after" in body
     fault = Fault.CLOSE if is_truncation else Fault(body.get("mode", "pass"))
     trigger_field = next((name for name in TRIGGER_FIELDS if name in body), None)
     if trigger_field is None:
-        return Order(routes=routes, fault=fault)
+        return FaultOrder(routes=routes, fault=fault)
     trigger = Trigger(
         direction=TRIGGER_FIELDS[trigger_field], after_bytes=int(body[trigger_field]), fault=fault
     )
-    return Order(routes=routes, fault=Fault.PASS, trigger=trigger)
+    return FaultOrder(routes=routes, fault=Fault.PASS, trigger=trigger)
--- a/src/pomelobarrow/standin/lane.py
+++ b/src/pomelobarrow/standin/flow.py
@@ -1,4 +1,4 @@
-"""Carry bytes one way through the proxy: delayed, held and cut off as told."""
+"""Forward bytes in one direction of a connection, with delay and holds."""
 
 import asyncio
 from collections import deque
@@ -7,12 +7,12 @@
 from attrs import define, field
 
 MAX_PENDING_BYTES = 8 * 1024 * 1024
-# Stands in the queue for the source's end, so that it keeps its place behind the bytes.
-END = b""
+# Marks the end of the stream in the queue, so that it is delivered after the bytes before it.
+EOF = b""
 
 
-def _end_writing(sink: asyncio.Transport) -> None:
-    """Pass an end on; a sink whose reading is paused may have been reset without a notice."""
+def _write_eof(sink: asyncio.Transport) -> None:
+    """Half-close a sink; abort it if it was reset unnoticed while its reading was paused."""
     try:
         sink.write_eof()
     except OSError:
@@ -20,57 +20,57 @@
 
 
 @define(eq=False)
-class Lane:
-    """Hold the bytes on their way in one direction."""
+class Flow:
+    """Delayed one-way byte stream from a source to a sink."""
 
     delay_s: float
-    # The handshake of a real connection takes a round trip before the first byte may leave.
+    # A TCP handshake takes one round trip before the first byte can be sent.
     open_at_s: float
-    on_end: Callable[[], None] = lambda: None
+    on_eof_delivered: Callable[[], None] = lambda: None
     source: asyncio.Transport | None = None
     sink: asyncio.Transport | None = None
     delivered_bytes: int = 0
     is_held: bool = False
-    is_ended: bool = False
+    is_eof_delivered: bool = False
     _is_sink_full: bool = False
     _is_reading: bool = True
     _pending: deque[tuple[float, bytes]] = field(factory=deque)
     _pending_bytes: int = 0
     _timer: asyncio.TimerHandle | None = None
-    _budget_bytes: int | None = None
-    _on_budget_spent: Callable[[], None] | None = None
+    _trigger_after_bytes: int | None = None
+    _on_trigger: Callable[[], None] | None = None
 
-    def arm(self, after_bytes: int, on_spent: Callable[[], None]) -> None:
-        """Call back once so many more bytes are delivered, before the next one."""
-        self._budget_bytes = after_bytes
-        self._on_budget_spent = on_spent
-        self._check_budget()
+    def arm(self, after_bytes: int, on_trigger: Callable[[], None]) -> None:
+        """Call a function once a number of further bytes is delivered, before the next byte."""
+        self._trigger_after_bytes = after_bytes
+        self._on_trigger = on_trigger
+        self._check_trigger()
 
     def disarm(self) -> None:
-        """Forget what was to happen after some bytes."""
-        self._budget_bytes = None
+        """Remove the trigger."""
+        self._trigger_after_bytes = None
 
     def feed(self, data: bytes) -> None:
-        """Take bytes, or the end, from the source."""
+        """Queue bytes, or the end of the stream, from the source."""
         due_at_s = max(asyncio.get_running_loop().time(), self.open_at_s) + self.delay_s
         self._pending.append((due_at_s, data))
         self._pending_bytes += len(data)
-        # With a delivery planned, what came before isn't due yet, and so neither is this.
+        # If a delivery is scheduled, the bytes queued before these are not due yet.
         if self._timer is None or self._pending_bytes > MAX_PENDING_BYTES:
             self.pump()
 
     def set_held(self, held: bool) -> None:
-        """Let nothing through, or go on with what waited."""
+        """Hold all delivery, or continue with the queued bytes."""
         self.is_held = held
         self.pump()
 
     def set_sink_full(self, full: bool) -> None:
-        """Stop reading from the source while the sink takes no more."""
+        """Pause reading from the source while the sink's write buffer is full."""
         self._is_sink_full = full
         self._update_reading()
 
     def pump(self) -> None:
-        """Deliver what is due and plan the next delivery."""
+        """Deliver the bytes that are due and schedule the next delivery."""
         loop = asyncio.get_running_loop()
         while self._can_deliver() and self._pending[0][0] <= loop.time():
             self._deliver(self._pending.popleft()[1])
@@ -82,7 +82,7 @@
         self._update_reading()
 
     def close(self) -> None:
-        """Drop what is on its way."""
+        """Drop the queued bytes."""
         self._pending.clear()
         self._pending_bytes = 0
         if self._timer is not None:
@@ -94,33 +94,33 @@
     def _deliver(self, data: bytes) -> None:
         assert self.sink is not None
         self._pending_bytes -= len(data)
-        if data == END:
-            self._deliver_end(self.sink)
+        if data == EOF:
+            self._deliver_eof(self.sink)
             return
-        passed = data if self._budget_bytes is None else data[: self._budget_bytes]
+        passed = data if self._trigger_after_bytes is None else data[: self._trigger_after_bytes]
         if rest := data[len(passed) :]:
             self._pending.appendleft((0.0, rest))
             self._pending_bytes += len(rest)
         if not self.sink.is_closing():
             self.sink.write(passed)
             self.delivered_bytes += len(passed)
-        if self._budget_bytes is not None:
-            self._budget_bytes -= len(passed)
-            self._check_budget()
+        if self._trigger_after_bytes is not None:
+            self._trigger_after_bytes -= len(passed)
+            self._check_trigger()
 
-    def _deliver_end(self, sink: asyncio.Transport) -> None:
+    def _deliver_eof(self, sink: asyncio.Transport) -> None:
         if self.source is None or self.source.is_closing():
             sink.close()
         elif not sink.is_closing():
-            _end_writing(sink)
-        self.is_ended = True
-        self.on_end()
-
-    def _check_budget(self) -> None:
-        if self._budget_bytes is not None and self._budget_bytes <= 0:
-            self._budget_bytes = None
-            if self._on_budget_spent is not None:
-                self._on_budget_spent()
+            _write_eof(sink)
+        self.is_eof_delivered = True
+        self.on_eof_delivered()
+
+    def _check_trigger(self) -> None:
+        if self._trigger_after_bytes is not None and self._trigger_after_bytes <= 0:
+            self._trigger_after_bytes = None
+            if self._on_trigger is not None:
+                self._on_trigger()
 
     def _update_reading(self) -> None:
         if self.source is None or self.source.is_closing():
--- a/src/pomelobarrow/standin/jobs.py
+++ b/src/pomelobarrow/standin/jobs.py
@@ -1,4 +1,4 @@
-"""Hold an engine's requests while someone may still read their answers."""
+"""Store an engine's requests while their answers may still be read."""
 
 import asyncio
 from collections.abc import Iterator
@@ -13,33 +13,33 @@
 
 @define(kw_only=True, eq=False)
 class Job:
-    """Hold one request's sequence, what its tokens are and who reads them."""
+    """Request of an engine with its sequence and the readers of its answer."""
 
     sequence: Sequence
     digest: str
     model: str
     resumable: bool
-    keep_until_s: float = 0.0
+    retained_until_s: float = 0.0
     _readers: set[asyncio.Event] = field(factory=set)
 
     @property
     def has_readers(self) -> bool:
-        """Say whether anyone reads the answer now."""
+        """Return whether the answer is being read."""
         return bool(self._readers)
 
     @property
     def started(self) -> bool:
-        """Say whether the sequence left the queue."""
+        """Return whether the sequence has left the queue."""
         return self.sequence.state is not RunState.WAITING
 
-    def wake_readers(self) -> None:
-        """Tell every reader that something changed."""
+    def notify_readers(self) -> None:
+        """Notify every reader of a change."""
         for reader in self._readers:
             reader.set()
 
     @contextmanager
     def reading(self) -> Iterator[asyncio.Event]:
-        """Count as a reader and get the event that is set on each change."""
+        """Register a reader and yield the event that is set on each change."""
         reader = asyncio.Event()
         self._readers.add(reader)
         try:
@@ -48,12 +48,12 @@
             self._readers.discard(reader)
 
     def usage(self) -> dict[str, object]:
-        """Count the tokens so far."""
+        """Build the usage object for the tokens so far."""
         sequence = self.sequence
         return answer.usage(sequence.prompt_tokens, sequence.cached_tokens, sequence.output_tokens)
 
     def event(self, index: int) -> bytes:
-        """Frame the event of one token."""
+        """Encode the event of one token."""
         is_last = index == self.sequence.max_tokens - 1
         return answer.token_event(
             self.sequence.request_id,
@@ -62,11 +62,11 @@
             self.usage() if is_last else None,
         )
 
-    def whole(self) -> dict[str, object]:
-        """Build the whole answer of a finished sequence."""
+    def completion(self) -> dict[str, object]:
+        """Build the response body of a finished sequence."""
         sequence = self.sequence
         text = "".join(answer.token(self.digest, index) for index in range(sequence.output_tokens))
-        return answer.whole_answer(sequence.request_id, self.model, text, self.usage())
+        return answer.completion(sequence.request_id, self.model, text, self.usage())
 
 
 async def wait_until_started(job: Job, reader: asyncio.Event) -> None:
@@ -77,7 +77,7 @@
 
 
 async def wait_until_ended(job: Job, reader: asyncio.Event) -> None:
-    """Wait until the sequence finished or was cancelled."""
+    """Wait until the sequence is finished or cancelled."""
     while not job.sequence.ended:
         await reader.wait()
         reader.clear()
--- a/src/pomelobarrow/standin/load.py
+++ b/src/pomelobarrow/standin/load.py
@@ -1,4 +1,4 @@
-"""Send requests to entry VMs at a given rate and sum up what came back."""
+"""Send requests to entry VMs at a given rate and summarize the results."""
 
 import asyncio
 import sys
@@ -20,16 +20,16 @@
 )
 
 CHAT_PATH = "/v1/chat/completions"
-# Gives the gateway time to say itself that the deadline passed.
-GRACE_S = 5.0
+# Time after the deadline for the gateway to report that the deadline passed.
+DEADLINE_GRACE_S = 5.0
 CONNECT_TIMEOUT_S = 2.0
-# Errors from before the first byte of a request.
-UNREACHED = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
+# Errors raised before the first byte of a request is sent.
+CONNECT_ERRORS = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 
 
 @frozen(kw_only=True)
 class LoadOptions:
-    """Hold the command line of the load tool."""
+    """Command-line options of the load tool."""
 
     plan: str = field(metadata={"help": "JSON file with the classes' work"})
     entry: tuple[str, ...] = field(metadata={"help": "Address of an entry VM; may be repeated"})
@@ -39,7 +39,7 @@
 
 @define(kw_only=True)
 class Caller:
-    """Send one class's requests."""
+    """Sender of the requests of one class."""
 
     class_name: str
     plan: WorkPlan
@@ -50,7 +50,7 @@
     _serial: int = 0
 
     async def send_until(self, stop_at_s: float) -> None:
-        """Send at random moments of the given rate, however late answers are."""
+        """Send with Poisson arrivals at the planned rate, whether or not answers arrive in time."""
         loop = asyncio.get_running_loop()
         due_at_s = loop.time()
         async with asyncio.TaskGroup() as tasks:
@@ -64,7 +64,7 @@
         body = make_body(self.class_name, self.plan, marker, self.rng)
         try:
             outcome, kind = await self._exchange(body, marker, due_at_s)
-        except (*UNREACHED, NoEntryError):
+        except (*CONNECT_ERRORS, NoEntryError):
             outcome, kind = Outcome.UNREACHED, ""
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             outcome, kind = Outcome.UNKNOWN, type(error).__name__
@@ -78,7 +78,7 @@
         address, request_id = await self.book.best(needs_id=not self.plan.repeatable)
         try:
             return await self._post(address, body, self._headers(marker, request_id), due_at_s)
-        except UNREACHED:
+        except CONNECT_ERRORS:
             self.book.drop(address)
             raise
 
@@ -88,7 +88,7 @@
         loop = asyncio.get_running_loop()
         url = f"http://{address}{self.plan.service_path or CHAT_PATH}"
         timeout = aiohttp.ClientTimeout(
-            total=self.plan.due_after_s + GRACE_S, sock_connect=CONNECT_TIMEOUT_S
+            total=self.plan.due_after_s + DEADLINE_GRACE_S, sock_connect=CONNECT_TIMEOUT_S
         )
         async with self.session.post(url, json=body, headers=headers, timeout=timeout) as response:
             first = await response.content.readany()
@@ -118,7 +118,7 @@
 async def run_load(
     plan: LoadPlan, entries: tuple[str, ...], *, duration_s: float, seed: int
 ) -> dict[str, Any]:
-    """Send all classes' work for a while and return the summary."""
+    """Send the work of all classes for a duration and return the summary."""
     connector = aiohttp.TCPConnector(limit=0)
     async with aiohttp.ClientSession(connector=connector) as session:
         callers = [
--- a/src/pomelobarrow/standin/load_entries.py
+++ b/src/pomelobarrow/standin/load_entries.py
@@ -1,4 +1,4 @@
-"""Keep what the entry VMs told a caller: which of them to use, and issued request ids."""
+"""Store the entry list and the issued request ids that a caller receives from entry VMs."""
 
 import asyncio
 import time
@@ -15,12 +15,12 @@
 
 
 class NoEntryError(ConnectionError):
-    """Tell that no entry VM answered; start one or name another with --entry."""
+    """Raised if no entry VM answered; start one or give another with --entry."""
 
 
 @define(kw_only=True)
 class EntryBook:
-    """Hold one class's entries, best first, until they are no longer good."""
+    """Entry VMs of one class, best first, and issued request ids; refreshed when they expire."""
 
     session: aiohttp.ClientSession
     class_name: str
@@ -29,32 +29,32 @@
     addresses: list[str] = field(factory=list)
     request_ids: deque[str] = field(factory=deque)
     good_until_unix_s: float = 0.0
-    _refreshing: asyncio.Lock = field(factory=asyncio.Lock)
+    _refresh_lock: asyncio.Lock = field(factory=asyncio.Lock)
 
     async def best(self, needs_id: bool) -> tuple[str, str]:
-        """Return the entry to use, and a request id if one is needed."""
-        async with self._refreshing:
+        """Return the address of the best entry, and a request id if one is needed."""
+        async with self._refresh_lock:
             if time.time() >= self.good_until_unix_s or (needs_id and not self.request_ids):
                 await self._refresh()
         request_id = self.request_ids.popleft() if needs_id and self.request_ids else ""
         return self.addresses[0], request_id
 
     def drop(self, address: str) -> None:
-        """Use another entry from now on, after one wasn't reached."""
+        """Remove an entry that could not be reached."""
         self.addresses = [other for other in self.addresses if other != address]
         if not self.addresses:
             self.good_until_unix_s = 0.0
 
     async def _refresh(self) -> None:
         for address in dict.fromkeys((*self.addresses, *self.known_addresses)):
-            if answer := await self._ask(address):
+            if answer := await self._fetch_entries(address):
                 self.addresses = [entry["address"] for entry in answer["entries"]] or [address]
                 self.request_ids = deque(answer.get("request_ids", ()))
                 self.good_until_unix_s = float(answer["good_until_unix_s"])
                 return
-        raise NoEntryError(f"no entry VM told its list for class {self.class_name}")
+        raise NoEntryError(f"no entry VM returned an entry list for class {self.class_name}")
 
-    async def _ask(self, address: str) -> Mapping[str, Any]:
+    async def _fetch_entries(self, address: str) -> Mapping[str, Any]:
         url = f"http://{address}/v1/entries"
         try:
             async with self.session.get(
--- a/src/pomelobarrow/standin/load_plan.py
+++ b/src/pomelobarrow/standin/load_plan.py
@@ -1,4 +1,4 @@
-"""State what a load run sends."""
+"""Define the requests of a load run."""
 
 from pathlib import Path
 from random import Random
@@ -13,26 +13,26 @@
 
 @frozen(kw_only=True)
 class WorkPlan:
-    """State the work sent for one class."""
+    """Rate and kind of the requests of one class."""
 
     rate_per_s: float
     token: str
-    # Without a service path the work is a chat request to this model.
+    # Model of the chat requests that are sent if there is no service path.
     model: str = ""
     service_path: str = ""
     is_streamed: bool = True
-    # Requests share so many documents, which the engines' prompt caches may hold.
+    # Number of documents shared by the prompts, which the engines' prompt caches may hold.
     documents: int = 20
     prompt_bytes: int = 2_000
     max_tokens: int = 64
-    # Work that may not be repeated is sent under an issued id.
+    # Requests that may not be repeated are sent with an issued id.
     repeatable: bool = True
     due_after_s: float = 60.0
 
 
 @frozen(kw_only=True)
 class LoadPlan:
-    """State the work of all classes."""
+    """Work of each class by its name."""
 
     classes: dict[str, WorkPlan]
 
@@ -43,7 +43,7 @@
 
 
 def make_body(class_name: str, plan: WorkPlan, marker: str, rng: Random) -> dict[str, Any]:
-    """Make a request body: a shared document, then a question of its own."""
+    """Build a request body: a shared document followed by a unique question."""
     if plan.service_path:
         return {"marker": marker}
     document = f"{class_name} document {rng.randrange(plan.documents)}: "
--- a/src/pomelobarrow/standin/load_report.py
+++ b/src/pomelobarrow/standin/load_report.py
@@ -1,4 +1,4 @@
-"""Publish load reports that lag behind the truth."""
+"""Publish load reports with a delay."""
 
 import asyncio
 from collections import deque
@@ -8,25 +8,25 @@
 from attrs import define, field
 
 Report = Mapping[str, Any]
-PERIODS_PER_LAG = 2
+MEASUREMENTS_PER_LAG = 2
 
 
 @define
 class LaggingReport:
-    """Keep the measurements of the last while and publish the oldest."""
+    """Recent load measurements, of which the oldest is published."""
 
     measure: Callable[[], Report]
     lag_s: float
-    _measured: deque[Report] = field(factory=lambda: deque(maxlen=PERIODS_PER_LAG + 1))
+    _measurements: deque[Report] = field(factory=lambda: deque(maxlen=MEASUREMENTS_PER_LAG + 1))
 
     def published(self) -> Report:
-        """Return the newest measurement that is at least the lag old, or the first one."""
-        if not self.lag_s or not self._measured:
+        """Return the newest measurement that is at least `lag_s` old, or else the first one."""
+        if not self.lag_s or not self._measurements:
             return self.measure()
-        return self._measured[0]
+        return self._measurements[0]
 
     async def keep_measuring(self) -> None:
-        """Measure a few times per lag, for as long as the process lives."""
+        """Measure twice per lag until cancelled."""
         while self.lag_s:
-            self._measured.append(self.measure())
-            await asyncio.sleep(self.lag_s / PERIODS_PER_LAG)
+            self._measurements.append(self.measure())
+            await asyncio.sleep(self.lag_s / MEASUREMENTS_PER_LAG)
--- a/src/pomelobarrow/standin/load_results.py
+++ b/src/pomelobarrow/standin/load_results.py
@@ -1,4 +1,4 @@
-"""Judge answers and sum a load run up."""
+"""Classify answers and summarize a load run."""
 
 import enum
 import math
@@ -17,14 +17,14 @@
 
 
 class Outcome(enum.Enum):
-    """Say what the caller knows of its request."""
+    """Outcome of a request as seen by the caller."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
     UNKNOWN = "unknown"
     # No entry VM could be reached, so nothing was sent.
     UNREACHED = "unreached"
-    # Looks whole, but isn't the answer to this request.
+    # The answer is complete but does not match the request.
     WRONG = "wrong"
 
 
@@ -33,7 +33,7 @@
 
 @define
 class ClassResults:
-    """Count one class's outcomes and keep the times of its answered requests."""
+    """Outcome counts of one class and the latencies of its answered requests."""
 
     outcomes: Counter[Outcome] = field(factory=Counter)
     kinds: Counter[str] = field(factory=Counter)
@@ -41,7 +41,7 @@
     end_s: list[float] = field(factory=list)
 
     def payload(self) -> dict[str, Any]:
-        """Build the class's part of the summary."""
+        """Build the summary of the class."""
         return {
             "sent": self.outcomes.total(),
             **{outcome.value: self.outcomes[outcome] for outcome in Outcome},
@@ -52,7 +52,7 @@
 
 
 def percentiles(values: Iterable[float]) -> dict[str, float]:
-    """Return the nearest-rank percentiles; none of no values."""
+    """Return the nearest-rank percentiles, or an empty mapping without values."""
     ordered = sorted(values)
     if not ordered:
         return {}
@@ -63,7 +63,7 @@
 
 
 def parse_object(data: bytes) -> dict[str, Any]:
-    """Parse a JSON object; anything else counts as an empty one."""
+    """Parse a JSON object; return an empty one for anything else."""
     try:
         parsed = orjson.loads(data)
     except orjson.JSONDecodeError:
@@ -74,12 +74,12 @@
 def classify_chat_answer(
     body: Mapping[str, Any], status: int, content_type: str, answer: bytes
 ) -> tuple[Outcome, str]:
-    """Judge the answer to a chat request; a problem's kind comes with it."""
+    """Classify the answer to a chat request; return its outcome and the kind of a problem."""
     events = _events(answer) if content_type == "text/event-stream" else [answer]
     parsed = [parse_object(event) for event in events]
     problem = next((item for item in parsed if "kind" in item), None)
     if status != 200 or problem:
-        return _judge_problem(problem or {})
+        return _classify_problem(problem or {})
     if content_type == "text/event-stream" and (not events or events[-1] != DONE):
         return Outcome.UNKNOWN, "broken_off"
     text = "".join(_text(item) for item in parsed)
@@ -89,14 +89,14 @@
 def classify_service_answer(
     body: Mapping[str, Any], status: int, answer: bytes
 ) -> tuple[Outcome, str]:
-    """Judge the answer of a plain service, which echoes the body."""
+    """Classify the answer of a plain service, which echoes the body."""
     parsed = parse_object(answer)
     if status != 200:
-        return _judge_problem(parsed)
+        return _classify_problem(parsed)
     return (Outcome.ANSWERED if parsed == body else Outcome.WRONG), ""
 
 
-def _judge_problem(problem: Mapping[str, Any]) -> tuple[Outcome, str]:
+def _classify_problem(problem: Mapping[str, Any]) -> tuple[Outcome, str]:
     run = str(problem.get("run", "unknown"))
     return OUTCOME_BY_RUN.get(run, Outcome.UNKNOWN), str(problem.get("kind", "not_a_problem"))
 
--- a/src/pomelobarrow/standin/orders.py
+++ b/src/pomelobarrow/standin/orders.py
@@ -1,4 +1,4 @@
-"""Take orders to load models or change role, with or without fencing."""
+"""Accept orders to load models or change role, with or without fencing."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -8,14 +8,14 @@
 
 @define(kw_only=True)
 class OrderBook:
-    """Hold what an engine was told to do."""
+    """Log of the orders that an engine received and the last accepted fencing number."""
 
     checks_fencing: bool
     fencing: int = 0
     log: list[dict[str, Any]] = field(factory=list)
 
     def take(self, order: Mapping[str, Any]) -> bool:
-        """Log an order and say whether it is carried out."""
+        """Log an order and return whether it is accepted."""
         fencing = int(order["fencing"])
         is_refused = self.checks_fencing and fencing < self.fencing
         self.log.append({**order, "refused": is_refused})
--- a/src/pomelobarrow/standin/platform_server.py
+++ b/src/pomelobarrow/standin/platform_server.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform: configuration, VM list and directory."""
+"""Simulate the platform: configuration, VM list and directory."""
 
 import asyncio
 import base64
@@ -13,7 +13,13 @@
 
 from pomelobarrow.standin.keyspace import Change, Keyspace, RevisionTooLargeError
 from pomelobarrow.standin.read_limit import ReadLimit
-from pomelobarrow.standin.runtime import Handler, is_control, json_answer, read_json, serve_app
+from pomelobarrow.standin.runtime import (
+    Handler,
+    is_admin_request,
+    json_response,
+    read_json,
+    serve_app,
+)
 
 KEYSPACES = ("config", "vms")
 MS_PER_S = 1_000.0
@@ -21,7 +27,7 @@
 
 
 class Mode(enum.Enum):
-    """Say how the platform misbehaves."""
+    """Fault mode of the platform."""
 
     UP = "up"
     DOWN = "down"
@@ -32,7 +38,7 @@
 
 @frozen(kw_only=True)
 class PlatformOptions:
-    """Hold the command line of the platform stand-in."""
+    """Command-line options of the simulated platform."""
 
     listen: str = field(metadata={"help": "Address to listen on, host:port"})
     seed_file: str = field(default="", metadata={"help": "JSON file published as revision 1"})
@@ -42,7 +48,7 @@
 
 @define
 class Platform:
-    """Hold the keyspaces, the mode and the reads that wait."""
+    """Simulated platform: keyspaces, fault mode and waiting reads."""
 
     limit: ReadLimit
     lag_s_by_keyspace: dict[str, float]
@@ -54,7 +60,7 @@
     changed: asyncio.Event = field(factory=asyncio.Event)
 
     def publish(self, name: str, changes: dict[str, Any]) -> int:
-        """Publish one revision and reveal it once the keyspace's lag is over."""
+        """Publish one revision and reveal it after the keyspace's lag."""
         keyspace = self.keyspaces[name]
         revision = keyspace.publish(changes)
         loop = asyncio.get_running_loop()
@@ -71,12 +77,12 @@
         self.changed = asyncio.Event()
 
     def readable_revision(self, name: str) -> int:
-        """Return the revision that readers see as head."""
+        """Return the head revision that readers see."""
         visible = self.keyspaces[name].visible_revision
         return self.frozen_revisions.get(name, visible) if self.mode is Mode.STALE else visible
 
     def set_mode(self, mode: Mode, *, delay_s: float, revision: int | None, keyspace: str) -> None:
-        """Change the mode and let waiting reads meet it at once."""
+        """Change the mode and wake the waiting reads, so that it applies to them at once."""
         self.frozen_revisions = {
             name: space.visible_revision for name, space in self.keyspaces.items()
         }
@@ -89,26 +95,26 @@
         self.notify()
 
 
-def misbehave_middleware(platform: Platform) -> Any:
-    """Build the middleware that counts reads and plays down, slow and limited."""
+def fault_middleware(platform: Platform) -> Any:
+    """Build the middleware that counts and limits reads and simulates outages and delays."""
 
     @web.middleware
-    async def misbehave(request: web.Request, handler: Handler) -> web.StreamResponse:
-        if is_control(request):
+    async def apply_faults(request: web.Request, handler: Handler) -> web.StreamResponse:
+        if is_admin_request(request):
             return await handler(request)
         if platform.mode is Mode.DOWN:
-            return json_answer({"error": "down"}, status=503)
-        if not platform.limit.take(time.monotonic()):
-            return json_answer({"error": "too many reads"}, status=429)
+            return json_response({"error": "down"}, status=503)
+        if not platform.limit.try_acquire(time.monotonic()):
+            return json_response({"error": "too many reads"}, status=429)
         if platform.mode is Mode.SLOW:
             await asyncio.sleep(platform.delay_s)
         return await handler(request)
 
-    return misbehave
+    return apply_faults
 
 
 async def wait_for_newer(platform: Platform, name: str, after: int, wait_s: float) -> None:
-    """Wait until the head passes a revision, the platform goes down or the time is over."""
+    """Wait until the head passes a revision, the platform goes down or the wait times out."""
     platform.waiting += 1
     try:
         async with asyncio.timeout(min(wait_s, MAX_WAIT_S)):
@@ -121,26 +127,26 @@
 
 
 def routes(platform: Platform) -> list[web.RouteDef]:
-    """Bind the platform's handlers."""
+    """Return the routes of the platform."""
 
     async def list_items(request: web.Request) -> web.Response:
-        name = _keyspace_named(request)
+        name = _requested_keyspace(request)
         revision = platform.readable_revision(name)
-        after = _product_key(name, request.query.get("after", ""))
+        after = _published_key(name, request.query.get("after", ""))
         page = platform.keyspaces[name].page_after(after, revision)
         items = [_item(name, change) for change in page.changes]
-        return json_answer({"items": items, "HasMore": page.has_more, "StoreRevision": revision})
+        return json_response({"items": items, "HasMore": page.has_more, "StoreRevision": revision})
 
     async def watch(request: web.Request) -> web.Response:
-        name = _keyspace_named(request)
+        name = _requested_keyspace(request)
         after = int(request.query["after"])
         wait_s = int(request.query.get("WaitMs", "0")) / MS_PER_S
         await wait_for_newer(platform, name, after, wait_s)
         if platform.mode is Mode.DOWN:
-            return json_answer({"error": "down"}, status=503)
+            return json_response({"error": "down"}, status=503)
         changes = platform.keyspaces[name].changes_after(after, platform.readable_revision(name))
         events = [_item(name, change) for change in changes.changes]
-        return json_answer({"events": events, "StoreRevision": changes.head_revision})
+        return json_response({"events": events, "StoreRevision": changes.head_revision})
 
     async def read_directory(request: web.Request) -> web.Response:
         values = platform.keyspaces["vms"].values(platform.readable_revision("vms"))
@@ -153,15 +159,15 @@
             for key, vm in values.items()
             if vm["role"] == "entry"
         ]
-        return json_answer({"vms": vms})
+        return json_response({"vms": vms})
 
     async def publish(request: web.Request) -> web.Response:
         body = await read_json(request)
         try:
             revision = platform.publish(body["keyspace"], body["changes"])
         except RevisionTooLargeError as error:
-            return json_answer({"error": str(error)}, status=413)
-        return json_answer({"revision": revision})
+            return json_response({"error": str(error)}, status=413)
+        return json_response({"revision": revision})
 
     async def set_mode(request: web.Request) -> web.Response:
         body = await read_json(request)
@@ -171,11 +177,11 @@
             revision=body.get("revision"),
             keyspace=body.get("keyspace", "config"),
         )
-        return json_answer({"mode": platform.mode.value})
+        return json_response({"mode": platform.mode.value})
 
     async def counters(request: web.Request) -> web.Response:
         limit = platform.limit
-        return json_answer(
+        return json_response(
             {"reads": limit.reads, "refused": limit.refused, "waiting": platform.waiting}
         )
 
@@ -189,16 +195,16 @@
     ]
 
 
-def _keyspace_named(request: web.Request) -> str:
-    """Return the keyspace whose name is the prefix asked for."""
+def _requested_keyspace(request: web.Request) -> str:
+    """Return the keyspace named by the query's prefix."""
     name = request.query.get("Prefix", "").removesuffix("/")
     if name not in KEYSPACES:
-        raise web.HTTPNotFound(text=f"read one of {', '.join(KEYSPACES)}")
+        raise web.HTTPNotFound(text=f"no such keyspace; read one of {', '.join(KEYSPACES)}")
     return name
 
 
-def _product_key(name: str, stored_key: str) -> str:
-    """Return the key as it was published: those of VMs begin with their keyspace's name."""
+def _published_key(name: str, stored_key: str) -> str:
+    """Return the key as it was published; keys of VMs begin with the keyspace's name."""
     return stored_key if name == "vms" else stored_key.removeprefix(f"{name}/")
 
 
@@ -211,17 +217,17 @@
 
 
 def publish_seed(platform: Platform, seed_file: str) -> None:
-    """Publish a seed file's keyspaces as their first revision, seen at once."""
+    """Publish the keyspaces of a seed file as their first revision, visible at once."""
     for name, changes in orjson.loads(Path(seed_file).read_bytes()).items():
         platform.keyspaces[name].reveal(platform.keyspaces[name].publish(changes))
 
 
 async def main(options: PlatformOptions) -> None:
-    """Serve the platform until told to stop."""
+    """Serve the platform until the process is stopped."""
     limit = ReadLimit(max_reads_per_s=options.max_reads_per_s)
     platform = Platform(limit, {"vms": options.vms_lag_s})
     if options.seed_file:
         publish_seed(platform, options.seed_file)
-    app = web.Application(middlewares=[misbehave_middleware(platform)])
+    app = web.Application(middlewares=[fault_middleware(platform)])
     app.add_routes(routes(platform))
-    await serve_app(app, options.listen, cancel_when_lost=True)
+    await serve_app(app, options.listen, cancel_on_disconnect=True)
--- a/src/pomelobarrow/standin/prefix_cache.py
+++ b/src/pomelobarrow/standin/prefix_cache.py
@@ -1,4 +1,4 @@
-"""Cache prompt prefixes in limited memory and publish late, gappy events of it."""
+"""Cache prompt prefixes with LRU eviction and publish delayed, incomplete cache events."""
 
 from collections import OrderedDict, deque
 from itertools import islice, takewhile
@@ -11,7 +11,7 @@
 
 @frozen
 class CacheEvent:
-    """Tell that one block was stored or evicted."""
+    """Event that one block was stored or evicted."""
 
     sequence: int
     kind: str
@@ -21,38 +21,38 @@
 
 @define(kw_only=True)
 class PrefixCache:
-    """Keep the least recently used blocks out."""
+    """LRU cache of prompt blocks with a log of its events."""
 
     max_blocks: int
     event_lag_s: float = 0.0
-    # Every how many events one is lost; 0 loses none.
+    # Every nth event is lost; 0 loses none.
     event_loss_every: int = 0
     _blocks: OrderedDict[int, None] = field(factory=OrderedDict)
     _events: deque[CacheEvent] = field(factory=lambda: deque(maxlen=MAX_KEPT_EVENTS))
     _sequence: int = 0
 
     def match(self, blocks: tuple[int, ...]) -> int:
-        """Count the leading blocks that are cached and mark them as used."""
+        """Return the number of leading blocks that are cached and mark these as used."""
         count = 0
         while count < len(blocks) and blocks[count] in self._blocks:
             count += 1
-        self._touch(blocks[:count])
+        self._mark_used(blocks[:count])
         return count
 
     def store(self, blocks: tuple[int, ...], now_unix_s: float) -> None:
-        """Store a prompt's blocks; a prefix is evicted after what builds on it."""
+        """Store a prompt's blocks; a block is evicted after the blocks that follow it."""
         kept = blocks[: self.max_blocks]
         for block in kept:
             if block not in self._blocks:
                 self._blocks[block] = None
                 self._publish("stored", block, now_unix_s)
-        self._touch(kept)
+        self._mark_used(kept)
         while len(self._blocks) > self.max_blocks:
             evicted, _ = self._blocks.popitem(last=False)
             self._publish("evicted", evicted, now_unix_s)
 
     def events_after(self, after: int, now_unix_s: float) -> dict[str, Any]:
-        """Build the answer of `GET /v1/cache/events`."""
+        """Build the response body of `GET /v1/cache/events`."""
         first = self._events[0].sequence if self._events else 1
         newer = islice(self._events, max(0, after + 1 - first), None)
         visible = list(takewhile(lambda event: event.visible_at_unix_s <= now_unix_s, newer))
@@ -61,11 +61,11 @@
             "events": [
                 {"sequence": event.sequence, "kind": event.kind, "block": event.block}
                 for event in visible
-                if not self._lost(event)
+                if not self._is_lost(event)
             ],
         }
 
-    def _touch(self, blocks: tuple[int, ...]) -> None:
+    def _mark_used(self, blocks: tuple[int, ...]) -> None:
         for block in reversed(blocks):
             self._blocks.move_to_end(block)
 
@@ -74,5 +74,5 @@
         visible_at_unix_s = now_unix_s + self.event_lag_s
         self._events.append(CacheEvent(self._sequence, kind, block, visible_at_unix_s))
 
-    def _lost(self, event: CacheEvent) -> bool:
+    def _is_lost(self, event: CacheEvent) -> bool:
         return bool(self.event_loss_every) and event.sequence % self.event_loss_every == 0
--- a/src/pomelobarrow/standin/prompt.py
+++ b/src/pomelobarrow/standin/prompt.py
@@ -1,4 +1,4 @@
-"""Turn the messages of a request into prompt text, tokens and prefix blocks."""
+"""Convert the messages of a request to prompt text, token counts and prefix block hashes."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -11,7 +11,7 @@
 
 
 def content_text(content: Any) -> str:
-    """Return a message's text, also of content given in parts."""
+    """Return a message's text; content may be a string or a list of parts."""
     if isinstance(content, list):
         return "".join(str(part.get("text", "")) for part in content)
     return str(content or "")
@@ -27,12 +27,12 @@
 
 
 def count_tokens(prompt: bytes) -> int:
-    """Count the prompt's tokens, at least one."""
+    """Return the number of tokens of a prompt, at least 1."""
     return max(1, len(prompt) // BYTES_PER_TOKEN)
 
 
 def block_hashes(prompt: bytes) -> tuple[int, ...]:
-    """Hash each full block seeded with its predecessor's hash."""
+    """Return the hash of each full block, seeded with the hash of the block before it."""
     hashes: list[int] = []
     predecessor = 0
     for start in range(0, len(prompt) - BLOCK_BYTES + 1, BLOCK_BYTES):
--- a/src/pomelobarrow/standin/relay.py
+++ b/src/pomelobarrow/standin/relay.py
@@ -1,4 +1,4 @@
-"""Relay TCP connections of one route with delay and faults."""
+"""Relay the TCP connections of a route with delay and faults."""
 
 import asyncio
 import socket
@@ -9,48 +9,48 @@
 from attrs import define, field
 
 from pomelobarrow.standin.fault_rules import (
-    BOTH,
-    HELD_BY_FAULT,
-    LASTING,
+    BOTH_DIRECTIONS,
+    HELD_DIRECTIONS_BY_FAULT,
+    PERMANENT_FAULTS,
     Direction,
     Fault,
-    Order,
+    FaultOrder,
     Trigger,
 )
-from pomelobarrow.standin.lane import END, Lane
+from pomelobarrow.standin.flow import EOF, Flow
 from pomelobarrow.standin.runtime import parse_address
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 def reset(transport: asyncio.Transport) -> None:
-    """Close a connection at once with a TCP reset."""
+    """Close a connection immediately with a TCP reset."""
     transport.get_extra_info("socket").setsockopt(
         socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE
     )
     transport.abort()
 
 
-def finish(transport: asyncio.Transport) -> None:
-    """Close a connection once what was written is sent."""
+def close_after_flush(transport: asyncio.Transport) -> None:
+    """Close a connection after its write buffer is sent."""
     transport.close()
 
 
-CLOSERS: dict[Fault, Callable[[asyncio.Transport], None]] = {
+CLOSE_FUNCTIONS: dict[Fault, Callable[[asyncio.Transport], None]] = {
     Fault.REFUSE: reset,
-    Fault.CLOSE: finish,
+    Fault.CLOSE: close_after_flush,
 }
 
 
-class Side(asyncio.Protocol):
-    """Feed what one end sends into its lane and slow the other lane down when it is full."""
+class EndpointProtocol(asyncio.Protocol):
+    """Feed received bytes into the outgoing flow; pause the incoming one while writes block."""
 
-    def __init__(self, outgoing: Lane, incoming: Lane) -> None:
+    def __init__(self, outgoing: Flow, incoming: Flow) -> None:
         self.outgoing = outgoing
         self.incoming = incoming
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start to carry both ways."""
+        """Attach the transport to both flows."""
         assert isinstance(transport, asyncio.Transport)
         self.outgoing.source = transport
         self.incoming.sink = transport
@@ -58,30 +58,30 @@
         self.incoming.pump()
 
     def data_received(self, data: bytes) -> None:
-        """Carry bytes on."""
+        """Queue received bytes."""
         self.outgoing.feed(data)
 
     def eof_received(self) -> bool:
-        """Carry the end on and keep the other way open."""
-        self.outgoing.feed(END)
+        """Queue the end of the stream and keep the other direction open."""
+        self.outgoing.feed(EOF)
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Carry the loss on."""
-        self.outgoing.feed(END)
+        """Queue the end of the stream after a lost connection."""
+        self.outgoing.feed(EOF)
 
     def pause_writing(self) -> None:
-        """Stop reading from the other end."""
+        """Pause reading from the other endpoint."""
         self.incoming.set_sink_full(True)
 
     def resume_writing(self) -> None:
-        """Read from the other end again."""
+        """Resume reading from the other endpoint."""
         self.incoming.set_sink_full(False)
 
 
 @define(eq=False)
 class Route:
-    """Hold one listening address, its target, its faults and its connections."""
+    """Listening address with its target, faults and connections."""
 
     name: str
     target: str
@@ -94,154 +94,154 @@
     closed_bytes: dict[Direction, int] = field(factory=lambda: dict.fromkeys(Direction, 0))
 
     def delivered_bytes(self, direction: Direction) -> int:
-        """Count the bytes delivered one way, over all connections so far."""
-        open_bytes = sum(item.lanes[direction].delivered_bytes for item in self.connections)
+        """Return the number of bytes delivered in one direction over all connections so far."""
+        open_bytes = sum(item.flows[direction].delivered_bytes for item in self.connections)
         return self.closed_bytes[direction] + open_bytes
 
-    def obey(self, order: Order) -> None:
+    def apply_order(self, order: FaultOrder) -> None:
         """Change the faults of the route and of its open connections."""
         self.trigger = order.trigger
         for connection in self.connections:
             connection.arm(order.trigger)
         if order.trigger is not None:
             return
-        # Lasting faults but refusal concern only the connections open now.
-        is_for_new = order.fault is Fault.REFUSE or order.fault not in LASTING
+        # Permanent faults other than REFUSE apply only to the connections that are open now.
+        is_for_new = order.fault is Fault.REFUSE or order.fault not in PERMANENT_FAULTS
         self.fault = order.fault if is_for_new else Fault.PASS
         for connection in tuple(self.connections):
-            connection.obey(order.fault)
+            connection.apply_route_fault(order.fault)
 
 
 @define(eq=False)
 class Connection:
-    """Hold both ends of one connection."""
+    """Relayed connection between a client and the target."""
 
     route: Route
-    lanes: dict[Direction, Lane]
+    flows: dict[Direction, Flow]
     fault: Fault = Fault.PASS
     _connecting: asyncio.Task[None] | None = None
-    _has_no_target: bool = False
+    _closed_before_connect: bool = False
 
     def __attrs_post_init__(self) -> None:
-        for lane in self.lanes.values():
-            lane.on_end = self._close_if_ended
+        for flow in self.flows.values():
+            flow.on_eof_delivered = self._close_if_ended
 
     @property
     def client(self) -> asyncio.Transport | None:
-        """Return the client's end."""
-        return self.lanes[Direction.TO_TARGET].source
+        """Return the client's transport."""
+        return self.flows[Direction.TO_TARGET].source
 
     @property
     def target(self) -> asyncio.Transport | None:
-        """Return the target's end."""
-        return self.lanes[Direction.TO_TARGET].sink
+        """Return the target's transport."""
+        return self.flows[Direction.TO_TARGET].sink
 
     @property
-    def is_left_by_client(self) -> bool:
-        """Say whether the client has closed its end and the target was told."""
-        return self.lanes[Direction.TO_TARGET].is_ended
-
-    def obey(self, fault: Fault) -> None:
-        """Apply a route's new fault."""
-        if fault in LASTING:
-            self.suffer(fault)
-        elif self.fault not in LASTING:
+    def is_closed_by_client(self) -> bool:
+        """Return whether the client's end of stream is delivered to the target."""
+        return self.flows[Direction.TO_TARGET].is_eof_delivered
+
+    def apply_route_fault(self, fault: Fault) -> None:
+        """Apply the new fault of the route."""
+        if fault in PERMANENT_FAULTS:
+            self.apply_fault(fault)
+        elif self.fault not in PERMANENT_FAULTS:
             self.fault = Fault.PASS
         self.refresh()
 
-    def suffer(self, fault: Fault) -> None:
+    def apply_fault(self, fault: Fault) -> None:
         """Apply a fault to this connection alone."""
         self.fault = fault
-        if close := CLOSERS.get(fault):
+        if close := CLOSE_FUNCTIONS.get(fault):
             self._close(close)
         self.refresh()
 
     def arm(self, trigger: Trigger | None) -> None:
-        """Count bytes from now on until a trigger's fault is due."""
-        for lane in self.lanes.values():
-            lane.disarm()
+        """Set or remove the trigger; bytes are counted from now on."""
+        for flow in self.flows.values():
+            flow.disarm()
         if trigger is not None:
-            self.lanes[trigger.direction].arm(
-                trigger.after_bytes, partial(self.suffer, trigger.fault)
+            self.flows[trigger.direction].arm(
+                trigger.after_bytes, partial(self.apply_fault, trigger.fault)
             )
 
     def refresh(self) -> None:
-        """Hold the directions that the faults hold and connect when the target is in reach."""
-        held = HELD_BY_FAULT[self.route.fault] | HELD_BY_FAULT[self.fault]
-        for direction, lane in self.lanes.items():
-            lane.set_held(direction in held)
-        if self._connecting is None and held != BOTH and not self._has_no_target:
+        """Update the held directions and connect to the target unless both are held."""
+        held = HELD_DIRECTIONS_BY_FAULT[self.route.fault] | HELD_DIRECTIONS_BY_FAULT[self.fault]
+        for direction, flow in self.flows.items():
+            flow.set_held(direction in held)
+        if self._connecting is None and held != BOTH_DIRECTIONS and not self._closed_before_connect:
             self._connecting = asyncio.get_running_loop().create_task(self._connect())
 
-    def forget_if_over(self) -> None:
-        """Leave the route once both ends are closed."""
-        is_target_over = self.target.is_closing() if self.target else self._has_no_target
-        is_client_over = self.client is None or self.client.is_closing()
-        if self in self.route.connections and is_client_over and is_target_over:
+    def remove_if_closed(self) -> None:
+        """Remove the connection from its route once both transports are closed."""
+        is_target_closed = self.target.is_closing() if self.target else self._closed_before_connect
+        is_client_closed = self.client is None or self.client.is_closing()
+        if self in self.route.connections and is_client_closed and is_target_closed:
             self.route.connections.discard(self)
-            for direction, lane in self.lanes.items():
-                self.route.closed_bytes[direction] += lane.delivered_bytes
-                lane.close()
+            for direction, flow in self.flows.items():
+                self.route.closed_bytes[direction] += flow.delivered_bytes
+                flow.close()
 
     def _close(self, close: Callable[[asyncio.Transport], None]) -> None:
         if self.target is None:
-            self._has_no_target = True
+            self._closed_before_connect = True
             if self._connecting is not None:
                 self._connecting.cancel()
         for transport in (self.client, self.target):
             if transport is not None:
                 close(transport)
-        self.forget_if_over()
+        self.remove_if_closed()
 
     def _close_if_ended(self) -> None:
-        if all(lane.is_ended for lane in self.lanes.values()):
-            self._close(finish)
+        if all(flow.is_eof_delivered for flow in self.flows.values()):
+            self._close(close_after_flush)
 
     async def _connect(self) -> None:
         host, port = parse_address(self.route.target)
-        side = TargetSide(self)
+        protocol = TargetProtocol(self)
         try:
-            await asyncio.get_running_loop().create_connection(lambda: side, host, port)
+            await asyncio.get_running_loop().create_connection(lambda: protocol, host, port)
         except OSError:
             self._close(reset)
 
 
-class ClientSide(Side):
-    """Speak with the client; its connection opens the one to the target."""
+class ClientProtocol(EndpointProtocol):
+    """Protocol for the client; its connection opens the one to the target."""
 
     def __init__(self, route: Route) -> None:
         open_at_s = asyncio.get_running_loop().time() + 2 * route.delay_s
-        lanes = {direction: Lane(route.delay_s, open_at_s) for direction in Direction}
-        super().__init__(lanes[Direction.TO_TARGET], lanes[Direction.TO_CLIENT])
-        self.connection = Connection(route, lanes)
+        flows = {direction: Flow(route.delay_s, open_at_s) for direction in Direction}
+        super().__init__(flows[Direction.TO_TARGET], flows[Direction.TO_CLIENT])
+        self.connection = Connection(route, flows)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Join the route, unless it refuses."""
+        """Add the connection to the route, unless the route refuses it."""
         super().connection_made(transport)
         route = self.connection.route
         route.accepted += 1
         if route.fault is Fault.REFUSE:
-            self.connection.suffer(Fault.REFUSE)
+            self.connection.apply_fault(Fault.REFUSE)
             return
         route.connections.add(self.connection)
         self.connection.refresh()
         self.connection.arm(route.trigger)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Carry the loss on and leave the route."""
+        """Queue the end of the stream and remove a closed connection from its route."""
         super().connection_lost(exc)
-        self.connection.forget_if_over()
+        self.connection.remove_if_closed()
 
 
-class TargetSide(Side):
-    """Speak with the target."""
+class TargetProtocol(EndpointProtocol):
+    """Protocol for the target."""
 
     def __init__(self, connection: Connection) -> None:
-        lanes = connection.lanes
-        super().__init__(lanes[Direction.TO_CLIENT], lanes[Direction.TO_TARGET])
+        flows = connection.flows
+        super().__init__(flows[Direction.TO_CLIENT], flows[Direction.TO_TARGET])
         self.connection = connection
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Carry the loss on and leave the route."""
+        """Queue the end of the stream and remove a closed connection from its route."""
         super().connection_lost(exc)
-        self.connection.forget_if_over()
+        self.connection.remove_if_closed()
--- a/src/pomelobarrow/standin/run_log.py
+++ b/src/pomelobarrow/standin/run_log.py
@@ -1,4 +1,4 @@
-"""Record what ran, so that tests can count it."""
+"""Record the runs of requests, so that tests can count them."""
 
 import enum
 from collections.abc import Iterable, Mapping
@@ -10,7 +10,7 @@
 
 
 class RunState(enum.Enum):
-    """Say how far a run got."""
+    """Progress or outcome of a run."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -24,7 +24,7 @@
 
 @define(kw_only=True, eq=False)
 class Run:
-    """Hold one run of one request."""
+    """Log entry for one run of a request."""
 
     request_id: str
     attempt: int = 0
@@ -40,28 +40,28 @@
 
     @property
     def ended(self) -> bool:
-        """Say whether the run's state is final."""
+        """Return whether the run's state is final."""
         return self.state in ENDED
 
     def start(self, now_unix_s: float) -> None:
-        """Note that the run begins to have effects."""
+        """Record the start of the run, from which on it has effects."""
         self.state = RunState.RUNNING
         self.started_unix_s = now_unix_s
 
     def end(self, state: RunState, now_unix_s: float) -> None:
-        """Note how the run ended."""
+        """Record the final state of the run."""
         self.state = state
         self.finished_unix_s = now_unix_s
 
 
 def header_int(headers: Mapping[str, str], name: str) -> int:
-    """Read a whole number from a header; anything else counts as 0."""
+    """Parse a non-negative integer from a header; return 0 for anything else."""
     text = headers.get(name, "0")
     return int(text) if text.isdecimal() else 0
 
 
 def runs_payload(runs: Iterable[Run]) -> dict[str, Any]:
-    """Build the answer of `GET /admin/runs`."""
+    """Build the response body of `GET /admin/runs`."""
     return {"runs": [_run_payload(run) for run in runs]}
 
 
--- a/src/pomelobarrow/standin/runtime.py
+++ b/src/pomelobarrow/standin/runtime.py
@@ -1,4 +1,4 @@
-"""Start, announce and stop one stand-in process."""
+"""Start and stop a stand-in process and print its addresses."""
 
 import asyncio
 import os
@@ -21,8 +21,8 @@
 
 
 @define
-class Gate:
-    """Hold every request but the control ones while the process plays frozen."""
+class RequestGate:
+    """Gate that holds all but admin requests while the process simulates a freeze."""
 
     opened: asyncio.Event = field(factory=asyncio.Event)
 
@@ -34,73 +34,73 @@
         (self.opened.clear if frozen else self.opened.set)()
 
 
-def is_control(request: web.Request) -> bool:
-    """Say whether a request steers the stand-in itself."""
+def is_admin_request(request: web.Request) -> bool:
+    """Return whether a request configures or inspects the stand-in itself."""
     return request.path.startswith("/admin/")
 
 
-def gate_middleware(gate: Gate) -> Any:
-    """Build the middleware that makes requests wait at the gate."""
+def gate_middleware(gate: RequestGate) -> Any:
+    """Build the middleware that holds requests while the gate is closed."""
 
     @web.middleware
     async def wait_at_gate(request: web.Request, handler: Handler) -> web.StreamResponse:
-        if not is_control(request):
+        if not is_admin_request(request):
             await gate.opened.wait()
         return await handler(request)
 
     return wait_at_gate
 
 
-def json_answer(payload: Any, status: int = 200) -> web.Response:
-    """Answer with a JSON body."""
+def json_response(payload: Any, status: int = 200) -> web.Response:
+    """Build a response with a JSON body."""
     return web.Response(body=orjson.dumps(payload), status=status, content_type="application/json")
 
 
-def limit_signal(limit_per_s: Callable[[], float | None]) -> Any:
-    """Build what names a server's limit in the head of each answer."""
+def limit_header_signal(limit_per_s: Callable[[], float | None]) -> Any:
+    """Build the signal handler that adds the server's rate limit to the response headers."""
 
-    async def name_limit(request: web.Request, response: web.StreamResponse) -> None:
-        if (named := limit_per_s()) is not None:
-            response.headers[LIMIT_HEADER] = str(named)
+    async def add_limit_header(request: web.Request, response: web.StreamResponse) -> None:
+        if (current_per_s := limit_per_s()) is not None:
+            response.headers[LIMIT_HEADER] = str(current_per_s)
 
-    return name_limit
+    return add_limit_header
 
 
-async def crash_if_named(request: web.Request, crash_on: str) -> None:
-    """End this process as a crash does, where a request's body holds a text."""
+async def crash_if_body_contains(request: web.Request, crash_on: str) -> None:
+    """End this process without cleanup if a request's body contains a text."""
     if crash_on and crash_on in await request.text():
         os._exit(CRASH_EXIT_CODE)
 
 
 def refused_unrun(reason: str) -> web.Response:
-    """Refuse a request before anything ran."""
-    return json_answer({"run": "no", "reason": reason}, status=503)
+    """Build the refusal of a request that was not run."""
+    return json_response({"run": "no", "reason": reason}, status=503)
 
 
 async def read_json(request: web.Request) -> Any:
-    """Read a JSON object from the body; anything else is answered with 400."""
+    """Parse the body as a JSON object; answer anything else with 400."""
     try:
         body = orjson.loads(await request.read())
     except orjson.JSONDecodeError as error:
-        raise web.HTTPBadRequest(text=f"send a JSON object: {error}") from error
+        raise web.HTTPBadRequest(text=f"body is not valid JSON: {error}") from error
     if not isinstance(body, dict):
-        raise web.HTTPBadRequest(text="send a JSON object")
+        raise web.HTTPBadRequest(text="body must be a JSON object")
     return body
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Split `host:port`."""
+    """Parse `host:port`."""
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
 def format_address(address: tuple[Any, ...]) -> str:
-    """Join a socket address as `host:port`."""
+    """Format a socket address as `host:port`."""
     return f"{address[0]}:{address[1]}"
 
 
 def announce(**fields: Any) -> None:
-    """Print the one JSON line that says where the process listens."""
+    """Print the JSON line with the addresses on which the process listens."""
     sys.stdout.write(orjson.dumps(fields).decode() + "\n")
     sys.stdout.flush()
 
@@ -108,19 +108,19 @@
 async def wait_for_stop() -> None:
     """Wait for SIGTERM or SIGINT."""
     stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        asyncio.get_running_loop().add_signal_handler(signal_number, stop.set)
     await stop.wait()
 
 
 async def start_app(
-    app: web.Application, listen: str, *, cancel_when_lost: bool = False
+    app: web.Application, listen: str, *, cancel_on_disconnect: bool = False
 ) -> tuple[web.AppRunner, str]:
-    """Start an application and return it with the address it got."""
+    """Start an application; return its runner and listening address."""
     runner = web.AppRunner(
         app,
         access_log=None,
-        handler_cancellation=cancel_when_lost,
+        handler_cancellation=cancel_on_disconnect,
         shutdown_timeout=SHUTDOWN_TIMEOUT_S,
     )
     await runner.setup()
@@ -129,9 +129,11 @@
     return runner, format_address(runner.addresses[0])
 
 
-async def serve_app(app: web.Application, listen: str, *, cancel_when_lost: bool = False) -> None:
-    """Serve an application until the process is told to stop."""
-    runner, listening = await start_app(app, listen, cancel_when_lost=cancel_when_lost)
+async def serve_app(
+    app: web.Application, listen: str, *, cancel_on_disconnect: bool = False
+) -> None:
+    """Serve an application until the process is stopped."""
+    runner, listening = await start_app(app, listen, cancel_on_disconnect=cancel_on_disconnect)
     announce(listening=listening)
     await wait_for_stop()
     await runner.cleanup()
--- a/src/pomelobarrow/standin/service.py
+++ b/src/pomelobarrow/standin/service.py
@@ -1,4 +1,4 @@
-"""Stand in for a plain service: answers any method and path, and logs each run."""
+"""Simulate a plain service that answers any method and path and logs each run."""
 
 import asyncio
 import time
@@ -12,11 +12,11 @@
 from pomelobarrow.standin.run_log import MAX_LOGGED_RUNS, Run, RunState, header_int, runs_payload
 from pomelobarrow.standin.runtime import (
     MAX_BODY_BYTES,
-    Gate,
-    crash_if_named,
+    RequestGate,
+    crash_if_body_contains,
     gate_middleware,
-    json_answer,
-    limit_signal,
+    json_response,
+    limit_header_signal,
     read_json,
     refused_unrun,
     serve_app,
@@ -25,7 +25,7 @@
 
 @frozen(kw_only=True)
 class ServiceOptions:
-    """Hold the command line of the service stand-in."""
+    """Command-line options of the simulated service."""
 
     listen: str = field(metadata={"help": "Address to listen on, host:port"})
     name: str = field(default="service", metadata={"help": "Name in load reports"})
@@ -36,24 +36,24 @@
 
 @define
 class Service:
-    """Hold the service's run log and modes."""
+    """Simulated plain service: run log, load and fault settings."""
 
     name: str
     latency_s: float
     slots: asyncio.Semaphore
     runs: deque[Run] = field(factory=lambda: deque(maxlen=MAX_LOGGED_RUNS))
-    gate: Gate = field(factory=Gate)
+    gate: RequestGate = field(factory=RequestGate)
     running: int = 0
     waiting: int = 0
     leaving: bool = False
     refuse: bool = False
-    # Calls whose body holds this text end the process.
+    # A call whose body contains this text ends the process, as a crash would.
     crash_on: str = ""
-    # Named with each answer; None names none.
+    # Rate limit sent in a header of each response; None sends no header.
     limit_per_s: float | None = None
 
     def measure(self) -> dict[str, Any]:
-        """Measure the load."""
+        """Return a load report for the current moment."""
         return {
             "server": self.name,
             "measured_unix_s": time.time(),
@@ -66,12 +66,12 @@
         }
 
     def refusal_reason(self) -> str | None:
-        """Say why a new call isn't run, if so."""
+        """Return why a new call is refused, or None if it is accepted."""
         reasons = {"leaving": self.leaving, "refused": self.refuse}
         return next((reason for reason, applies in reasons.items() if applies), None)
 
     async def run(self, run: Run) -> None:
-        """Run one call; it has its effect from the start, whoever still listens."""
+        """Run one call to its end, even if the caller disconnects."""
         self.waiting += 1
         async with self.slots:
             self.waiting -= 1
@@ -84,7 +84,7 @@
 
 
 def new_run(request: web.Request) -> Run:
-    """Make the log entry of one call."""
+    """Build the log entry of a call."""
     headers = request.headers
     return Run(
         request_id=headers.get("X-Request-Id", ""),
@@ -96,18 +96,18 @@
 
 
 def routes(service: Service, report: LaggingReport) -> list[web.RouteDef]:
-    """Bind the service's handlers."""
+    """Return the routes of the service."""
 
     async def call(request: web.Request) -> web.Response:
         body = await request.read()
         if reason := service.refusal_reason():
             return refused_unrun(reason)
-        await crash_if_named(request, service.crash_on)
+        await crash_if_body_contains(request, service.crash_on)
         run = new_run(request)
         await service.run(run)
         if body:
             return web.Response(body=body, content_type=request.content_type)
-        return json_answer(
+        return json_response(
             {
                 "service": service.name,
                 "method": request.method,
@@ -117,10 +117,10 @@
         )
 
     async def load(request: web.Request) -> web.Response:
-        return json_answer(report.published())
+        return json_response(report.published())
 
     async def runs(request: web.Request) -> web.Response:
-        return json_answer(runs_payload(service.runs))
+        return json_response(runs_payload(service.runs))
 
     async def set_mode(request: web.Request) -> web.Response:
         body = await read_json(request)
@@ -130,7 +130,7 @@
         service.limit_per_s = body.get("limit_per_s", service.limit_per_s)
         service.latency_s = body.get("latency_s", service.latency_s)
         service.gate.set_frozen(body.get("frozen", not service.gate.opened.is_set()))
-        return json_answer({"leaving": service.leaving, "refuse": service.refuse})
+        return json_response({"leaving": service.leaving, "refuse": service.refuse})
 
     return [
         web.get("/v1/load", load),
@@ -141,13 +141,13 @@
 
 
 async def main(options: ServiceOptions) -> None:
-    """Serve the plain service until told to stop."""
+    """Serve the plain service until the process is stopped."""
     service = Service(options.name, options.latency_s, asyncio.Semaphore(options.slots))
     report = LaggingReport(service.measure, options.report_lag_s)
     app = web.Application(
         middlewares=[gate_middleware(service.gate)], client_max_size=MAX_BODY_BYTES
     )
-    app.on_response_prepare.append(limit_signal(lambda: service.limit_per_s))
+    app.on_response_prepare.append(limit_header_signal(lambda: service.limit_per_s))
     app.add_routes(routes(service, report))
     async with asyncio.TaskGroup() as tasks:
         measuring = tasks.create_task(report.keep_measuring())
--- a/tests/standin_harness.py
+++ b/tests/standin_harness.py
@@ -1,4 +1,4 @@
-"""Start stand-ins as real processes and speak with them."""
+"""Start stand-ins as separate processes and send requests to them."""
 
 import asyncio
 import json
@@ -11,7 +11,7 @@
 import aiohttp
 from attrs import field, frozen
 
-ANYWHERE = "127.0.0.1:0"
+ANY_PORT = "127.0.0.1:0"
 START_COMMAND = (sys.executable, "-m", "pomelobarrow.standin")
 STOP_TIMEOUT_S = 10.0
 POLL_S = 0.01
@@ -20,7 +20,7 @@
 
 @frozen
 class Standin:
-    """Hold one running stand-in and the addresses it announced."""
+    """Running stand-in process and the addresses it printed."""
 
     process: "subprocess.Popen[bytes]"
     listening: str
@@ -30,25 +30,25 @@
 
 @frozen
 class Answer:
-    """Hold a status and a body, parsed where it is JSON."""
+    """Response status and body; a JSON body is parsed."""
 
     status: int
     body: Any
 
 
 def start_standin(kind: str, *options: str) -> Standin:
-    """Start one stand-in and wait until it is ready."""
+    """Start one stand-in and wait until it prints its addresses."""
     command = [*START_COMMAND, kind, *options]
     if "--listen" not in options and kind != "proxy":
-        command += ["--listen", ANYWHERE]
+        command += ["--listen", ANY_PORT]
     process = subprocess.Popen(command, stdout=subprocess.PIPE)
     assert process.stdout is not None
     return Standin(process, **json.loads(process.stdout.readline()))
 
 
 @contextmanager
-def standins() -> Iterator[Callable[..., Standin]]:
-    """Start stand-ins and end just those at the end."""
+def running_standins() -> Iterator[Callable[..., Standin]]:
+    """Yield a function that starts stand-ins; terminate these on exit."""
     started: list[Standin] = []
 
     def start(kind: str, *options: str) -> Standin:
@@ -69,7 +69,7 @@
 async def call(
     method: str, address: str, path: str, body: Any = None, headers: dict[str, str] | None = None
 ) -> Answer:
-    """Send one request on a connection of its own."""
+    """Send one request on a new connection."""
     async with (
         aiohttp.ClientSession() as session,
         session.request(method, f"http://{address}{path}", json=body, headers=headers) as response,
@@ -78,11 +78,13 @@
         return Answer(response.status, await (response.json() if is_json else response.text()))
 
 
-async def eventually(
-    look: Callable[[], Awaitable[Value]], is_wanted: Callable[[Value], object], within_s: float = 10
+async def wait_until(
+    poll: Callable[[], Awaitable[Value]],
+    is_expected: Callable[[Value], object],
+    within_s: float = 10,
 ) -> Value:
-    """Look again and again until what is seen is wanted."""
+    """Poll a value until it is as expected, or fail with TimeoutError."""
     async with asyncio.timeout(within_s):
-        while not is_wanted(seen := await look()):
+        while not is_expected(value := await poll()):
             await asyncio.sleep(POLL_S)
-    return seen
+    return value
--- a/tests/test_standin_batch.py
+++ b/tests/test_standin_batch.py
@@ -1,4 +1,4 @@
-"""The batch starts by priority and arrival, within its slots, prefill and memory."""
+"""Test batch scheduling by priority, arrival, slots, prefill budget and memory."""
 
 import pytest
 
@@ -19,7 +19,7 @@
         slots=2,
         prefill_tokens_per_step=100,
         kv_capacity_tokens=1000,
-        find_cached=lambda sequence: 60 if sequence.blocks else 0,
+        count_cached_tokens=lambda sequence: 60 if sequence.blocks else 0,
         store_cached=stored.append,
     )
 
--- a/tests/test_standin_engine.py
+++ b/tests/test_standin_engine.py
@@ -1,4 +1,4 @@
-"""The engine stand-in streams, resumes, cancels and says truly what ran."""
+"""Test streaming, resuming, cancelling and run reports of the simulated engine."""
 
 import asyncio
 import json
@@ -8,7 +8,7 @@
 
 import aiohttp
 import pytest
-from standin_harness import Standin, call, eventually, standins
+from standin_harness import Standin, call, running_standins, wait_until
 
 from pomelobarrow.standin.answer import expected_answer
 
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def engine() -> Iterator[Standin]:
-    with standins() as start:
+    with running_standins() as start:
         yield start("engine", "--slots", "1", "--step-s", "0.001", "--event-lag-s", "0")
 
 
@@ -35,10 +35,10 @@
 
 
 @asynccontextmanager
-async def opened(
+async def open_stream(
     engine: Standin, body: dict[str, Any], sent: dict[str, str]
 ) -> AsyncIterator[aiohttp.ClientResponse]:
-    """Open a stream whose connection is lost at the end of the block."""
+    """Open a stream and drop its connection on exit."""
     async with aiohttp.ClientSession() as session:
         url = f"http://{engine.listening}{CHAT}"
         async with session.post(url, json=body, headers=sent) as response:
@@ -72,7 +72,7 @@
 
 
 async def test_stream_is_whole_and_ends_with_done(engine: Standin) -> None:
-    async with opened(engine, chat("a"), headers("r1")) as response:
+    async with open_stream(engine, chat("a"), headers("r1")) as response:
         data = await events(response)
     assert (text_of(data), data[-1], len(data)) == (expected_answer(chat("a")), DONE, 6)
     assert json.loads(data[-2])["usage"]["completion_tokens"] == 5
@@ -86,8 +86,8 @@
     }
     cached = [answer["usage"]["prompt_tokens_details"]["cached_tokens"] for answer in answers]
     assert cached == [0, 256]
-    told = (await call("GET", engine.listening, "/v1/cache/events?after=0")).body
-    assert [event["kind"] for event in told["events"]] == ["stored", "stored"]
+    published = (await call("GET", engine.listening, "/v1/cache/events?after=0")).body
+    assert [event["kind"] for event in published["events"]] == ["stored", "stored"]
 
 
 async def test_same_id_sent_twice_runs_twice(engine: Standin) -> None:
@@ -100,7 +100,7 @@
 
 async def test_resumable_request_survives_its_connection_and_runs_once(engine: Standin) -> None:
     body = chat("a", max_tokens=200)
-    async with opened(engine, body, headers("r1", **{"X-Resumable": "1"})) as response:
+    async with open_stream(engine, body, headers("r1", **{"X-Resumable": "1"})) as response:
         first = parse_events((await response.content.readuntil(b"\n\n")).decode())
     rest = await call("GET", engine.listening, "/v1/requests/r1/events?offset=1")
     data = first + parse_events(rest.body)
@@ -111,39 +111,39 @@
 @pytest.mark.parametrize("resumable", ["0", "1"], ids=["plain", "resumable"])
 async def test_lost_connection_cancels_a_plain_request(engine: Standin, resumable: str) -> None:
     sent = headers("r1", **{"X-Resumable": resumable})
-    async with opened(engine, chat("a", ENDLESS_TOKENS), sent) as response:
+    async with open_stream(engine, chat("a", ENDLESS_TOKENS), sent) as response:
         await response.content.readuntil(b"\n\n")
     if resumable == "0":
-        await eventually(lambda: states(engine), lambda seen: seen == ["cancelled"])
+        await wait_until(lambda: states(engine), lambda seen: seen == ["cancelled"])
     assert await cancel(engine, "r1") == "cancelled"
 
 
-async def test_queued_request_whose_caller_left_never_starts(engine: Standin) -> None:
-    async with opened(engine, chat("a", ENDLESS_TOKENS), headers("r1")):
+async def test_queued_request_whose_caller_disconnected_never_starts(engine: Standin) -> None:
+    async with open_stream(engine, chat("a", ENDLESS_TOKENS), headers("r1")):
         queued = asyncio.create_task(call("POST", engine.listening, CHAT, chat("b"), headers("r2")))
-        await eventually(lambda: states(engine), lambda seen: seen == ["running", "waiting"])
+        await wait_until(lambda: states(engine), lambda seen: seen == ["running", "waiting"])
         queued.cancel()
-        await eventually(lambda: states(engine), lambda seen: seen == ["running", "not_run"])
+        await wait_until(lambda: states(engine), lambda seen: seen == ["running", "not_run"])
 
 
 async def test_paying_request_starts_before_an_earlier_trial_request(engine: Standin) -> None:
-    async with asyncio.TaskGroup() as tasks, opened(engine, chat("a", ENDLESS_TOKENS), {}):
+    async with asyncio.TaskGroup() as tasks, open_stream(engine, chat("a", ENDLESS_TOKENS), {}):
         for count, priority in enumerate("10", start=2):
             sent = headers(priority, **{"X-Priority": priority})
             tasks.create_task(call("POST", engine.listening, CHAT, chat(priority), sent))
-            await eventually(lambda: states(engine), lambda seen, count=count: len(seen) == count)
+            await wait_until(lambda: states(engine), lambda seen, count=count: len(seen) == count)
     started = {run["request_id"]: run["started_unix_s"] for run in await runs(engine)}
     assert started["0"] < started["1"]
 
 
 async def test_cancelled_before_its_start_never_starts(engine: Standin) -> None:
-    """The caller gives up on a queued request; its POST may come again, or for the first time,
-    after the cancel. Having answered not_run, the engine must refuse that id from then on."""
-    async with opened(engine, chat("a", ENDLESS_TOKENS), headers("r1")):
+    """Test that an id answered with not_run is refused afterwards. Otherwise a POST that arrives
+    after the cancel, for the first time or as a repetition, would still run."""
+    async with open_stream(engine, chat("a", ENDLESS_TOKENS), headers("r1")):
         queued = asyncio.create_task(
             call("POST", engine.listening, CHAT, chat("b"), headers("queued"))
         )
-        await eventually(lambda: states(engine), lambda seen: len(seen) == 2)
+        await wait_until(lambda: states(engine), lambda seen: len(seen) == 2)
         assert [await cancel(engine, name) for name in ("queued", "unseen")] == ["not_run"] * 2
         assert ((await queued).status, (await queued).body["run"]) == (503, "no")
     for name in ("queued", "unseen"):
@@ -152,7 +152,7 @@
 
 
 async def test_cancelled_stream_ends_without_done(engine: Standin) -> None:
-    async with opened(engine, chat("a", ENDLESS_TOKENS), headers("r1")) as response:
+    async with open_stream(engine, chat("a", ENDLESS_TOKENS), headers("r1")) as response:
         assert await cancel(engine, "r1") == "cancelled"
         data = await events(response)
     assert DONE not in data
@@ -164,15 +164,15 @@
     assert await cancel(engine, "r1") == "finished"
 
 
-async def test_new_engine_does_not_vouch_for_what_ran_before_it_started() -> None:
-    with standins() as start:
+async def test_new_engine_reports_unknown_for_requests_before_its_start() -> None:
+    with running_standins() as start:
         engine = start("engine", "--unknown-after-start-s", "3600")
         assert await cancel(engine, "r1") == "unknown"
 
 
 async def test_leaving_engine_refuses_new_work_and_finishes_the_rest(engine: Standin) -> None:
     body = chat("a", max_tokens=300)
-    async with opened(engine, body, headers("r1")) as response:
+    async with open_stream(engine, body, headers("r1")) as response:
         await call("POST", engine.listening, "/admin/mode", {"leaving": True})
         refused = await call("POST", engine.listening, CHAT, chat("b"), headers("r2"))
         assert (refused.status, refused.body) == (503, {"run": "no", "reason": "leaving"})
@@ -180,8 +180,8 @@
     assert await states(engine) == ["finished"]
 
 
-async def test_frozen_engine_answers_once_it_wakes(engine: Standin) -> None:
-    async with opened(engine, chat("a", max_tokens=200), headers("r1")) as response:
+async def test_frozen_engine_answers_once_unfrozen(engine: Standin) -> None:
+    async with open_stream(engine, chat("a", max_tokens=200), headers("r1")) as response:
         await call("POST", engine.listening, "/admin/mode", {"frozen": True})
         waiting = asyncio.create_task(call("GET", engine.listening, "/v1/load"))
         assert await states(engine) == await states(engine) == ["running"]
@@ -192,9 +192,9 @@
 
 
 async def test_load_report_lags_behind() -> None:
-    with standins() as start:
+    with running_standins() as start:
         engine = start("engine", "--report-lag-s", "3600", "--name", "b1")
-        async with opened(engine, chat("a", ENDLESS_TOKENS), headers("r1")):
+        async with open_stream(engine, chat("a", ENDLESS_TOKENS), headers("r1")):
             report = (await call("GET", engine.listening, "/v1/load")).body
             started_unix_s = (await runs(engine))[0]["started_unix_s"]
         assert (report["server"], report["running"]) == ("b1", 0)
@@ -209,14 +209,14 @@
 async def test_old_order_is_refused_where_fencing_is_checked(
     options: tuple[str, ...], statuses: list[int]
 ) -> None:
-    with standins() as start:
+    with running_standins() as start:
         engine = start("engine", *options)
         orders = [{"fencing": number, "order": "load_model"} for number in (5, 4, 5)]
         answers = [await call("POST", engine.listening, "/v1/orders", order) for order in orders]
         assert [answer.status for answer in answers] == statuses
 
 
-async def test_request_that_it_is_told_to_crash_on_ends_the_engine(engine: Standin) -> None:
+async def test_request_that_contains_the_crash_text_ends_the_engine(engine: Standin) -> None:
     await call("POST", engine.listening, "/admin/mode", {"crash_on": "fatal"})
     with pytest.raises(aiohttp.ClientError):
         await call("POST", engine.listening, CHAT, chat("fatal"), headers("r1"))
@@ -224,7 +224,7 @@
         await call("GET", engine.listening, "/v1/load")
 
 
-async def test_limit_is_named_with_each_answer_until_it_ends(engine: Standin) -> None:
+async def test_limit_header_is_sent_until_the_limit_is_removed(engine: Standin) -> None:
     named = []
     for limit_per_s in (2.5, None):
         await call("POST", engine.listening, "/admin/mode", {"limit_per_s": limit_per_s})
--- a/tests/test_standin_keyspace.py
+++ b/tests/test_standin_keyspace.py
@@ -1,4 +1,4 @@
-"""A keyspace answers in whole revisions, current values first."""
+"""Test that a keyspace answers in complete revisions, starting with current values."""
 
 from typing import Any
 
@@ -45,7 +45,7 @@
     assert (changes(keyspace, 0), keyspace.publish({"a": 9})) == ([(1, "a", 1)], 2)
 
 
-def test_revision_that_fits_no_answer_is_refused_whole() -> None:
+def test_revision_larger_than_an_answer_is_refused() -> None:
     keyspace = published({"a": 1})
     with pytest.raises(RevisionTooLargeError, match="in parts"):
         keyspace.publish({"b": "x" * keyspace_module.MAX_ANSWER_BYTES})
--- a/tests/test_standin_load.py
+++ b/tests/test_standin_load.py
@@ -1,4 +1,4 @@
-"""The load tool tells answered, refused, unknown, unreached and wrong answers apart."""
+"""Test that the load tool distinguishes answered, refused, unknown, unreached and wrong."""
 
 import itertools
 import json
@@ -8,7 +8,7 @@
 
 import pytest
 from aiohttp import web
-from standin_harness import ANYWHERE
+from standin_harness import ANY_PORT
 
 from pomelobarrow.standin.answer import DONE_EVENT, event, expected_answer, token_event
 from pomelobarrow.standin.load import LoadOptions, main
@@ -25,8 +25,8 @@
     numbers = itertools.count()
 
     async def entries(request: web.Request) -> web.Response:
-        told = {"entries": [{"address": request.host}], "good_until_unix_s": FAR_UNIX_S}
-        return web.json_response(told | {"request_ids": [f"id-{next(numbers)}"]})
+        reply = {"entries": [{"address": request.host}], "good_until_unix_s": FAR_UNIX_S}
+        return web.json_response(reply | {"request_ids": [f"id-{next(numbers)}"]})
 
     async def echo(request: web.Request) -> web.Response:
         seen_ids.append(request.headers["Idempotency-Key"])
@@ -51,7 +51,7 @@
 async def entry(seen_ids: list[str]) -> AsyncIterator[str]:
     app = web.Application()
     app.add_routes(entry_routes(seen_ids))
-    runner, address = await start_app(app, ANYWHERE)
+    runner, address = await start_app(app, ANY_PORT)
     yield address
     await runner.cleanup()
 
@@ -65,11 +65,11 @@
     classes = {name: {"rate_per_s": 100, "token": "t", **more} for name, more in work.items()}
     plan.write_text(json.dumps({"classes": classes}))
     await main(LoadOptions(plan=str(plan), entry=("127.0.0.1:1", entry), seconds=0.3))
-    told = json.loads(capsys.readouterr().out)["classes"]
-    assert told["ping"]["sent"] == told["ping"]["answered"] == len(set(seen_ids)) > 0
-    assert told["review"]["sent"] == told["review"]["refused"] > 0
-    assert told["review"]["problem_kinds"] == {"overloaded": told["review"]["sent"]}
-    assert set(told["ping"]["end_s"]) == {"p50", "p95", "p99"}
+    summary = json.loads(capsys.readouterr().out)["classes"]
+    assert summary["ping"]["sent"] == summary["ping"]["answered"] == len(set(seen_ids)) > 0
+    assert summary["review"]["sent"] == summary["review"]["refused"] > 0
+    assert summary["review"]["problem_kinds"] == {"overloaded": summary["review"]["sent"]}
+    assert set(summary["ping"]["end_s"]) == {"p50", "p95", "p99"}
 
 
 @pytest.mark.parametrize(
@@ -81,7 +81,7 @@
         pytest.param(event({"kind": "x", "run": "unknown"}), Outcome.UNKNOWN, id="problem"),
     ],
 )
-def test_stream_is_judged_by_its_end_and_text(answer: bytes, outcome: Outcome) -> None:
+def test_stream_is_classified_by_its_end_and_text(answer: bytes, outcome: Outcome) -> None:
     assert classify_chat_answer(BODY, 200, "text/event-stream", answer)[0] is outcome
 
 
--- a/tests/test_standin_platform.py
+++ b/tests/test_standin_platform.py
@@ -1,4 +1,4 @@
-"""The platform stand-in publishes, waits, counts and misbehaves as told."""
+"""Test publishing, waiting reads, counters and fault modes of the simulated platform."""
 
 import asyncio
 import base64
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from standin_harness import Answer, Standin, call, eventually, standins
+from standin_harness import Answer, Standin, call, running_standins, wait_until
 
 SEED = {
     "config": {"deployment": {"objective": "cost"}},
@@ -28,12 +28,12 @@
 
 @pytest.fixture
 def platform(seed_file: str) -> Iterator[Standin]:
-    with standins() as start:
+    with running_standins() as start:
         yield start("platform", "--seed-file", seed_file)
 
 
 async def read(platform: Standin, after: int, wait_s: float = 0, name: str = "config") -> Answer:
-    """List the keyspace, or watch it from a revision; tell both in the same words."""
+    """List the keyspace, or watch it from a revision; return both in the same form."""
     wait_ms = round(wait_s * 1000)
     path = f"/kv-watch?Prefix={name}/&after={after}&WaitMs={wait_ms}"
     if not after:
@@ -69,7 +69,7 @@
 
 async def start_waiting_read(platform: Standin, after: int) -> "asyncio.Task[Answer]":
     reading = asyncio.create_task(read(platform, after, wait_s=60))
-    await eventually(lambda: counters(platform), lambda counted: counted["waiting"] == 1)
+    await wait_until(lambda: counters(platform), lambda counted: counted["waiting"] == 1)
     return reading
 
 
@@ -91,7 +91,7 @@
     assert [change["value"] for change in changes] == [{"x": 1}, None]
 
 
-async def test_waiting_read_ends_with_its_time(platform: Standin) -> None:
+async def test_waiting_read_ends_after_its_wait_time(platform: Standin) -> None:
     answer = await read(platform, 1, wait_s=0.01)
     assert answer.body == {"head_revision": 1, "changes": []}
 
@@ -124,13 +124,13 @@
 async def test_slow_platform_delays_reads(platform: Standin) -> None:
     await set_mode(platform, "slow", delay_s=3600)
     reading = asyncio.create_task(read(platform, 0))
-    await eventually(lambda: counters(platform), lambda counted: counted["reads"] == 1)
+    await wait_until(lambda: counters(platform), lambda counted: counted["reads"] == 1)
     assert not reading.done()
     reading.cancel()
 
 
 async def test_reads_beyond_the_limit_are_refused_and_counted(seed_file: str) -> None:
-    with standins() as start:
+    with running_standins() as start:
         platform = start("platform", "--seed-file", seed_file, "--max-reads-per-s", "5")
         answers = await asyncio.gather(*(read(platform, 0) for _ in range(40)))
         refused = sum(answer.status == 429 for answer in answers)
@@ -139,7 +139,7 @@
 
 
 async def test_vm_list_lags_behind_while_the_configuration_does_not(seed_file: str) -> None:
-    with standins() as start:
+    with running_standins() as start:
         platform = start("platform", "--seed-file", seed_file, "--vms-lag-s", "3600")
         await publish(platform, {"vms/e2": {"role": "entry"}}, keyspace="vms")
         await publish(platform, {"a": 1})
--- a/tests/test_standin_prefix_cache.py
+++ b/tests/test_standin_prefix_cache.py
@@ -1,10 +1,10 @@
-"""The prefix cache keeps what was used last and tells of it late and with gaps."""
+"""Test LRU eviction and the delayed, incomplete events of the prefix cache."""
 
 from pomelobarrow.standin.prefix_cache import PrefixCache
 from pomelobarrow.standin.prompt import BLOCK_BYTES, block_hashes, prompt_bytes
 
 
-def told(cache: PrefixCache, after: int, now_unix_s: float) -> list[tuple[int, str, int]]:
+def visible_events(cache: PrefixCache, after: int, now_unix_s: float) -> list[tuple[int, str, int]]:
     events = cache.events_after(after, now_unix_s)["events"]
     return [(event["sequence"], event["kind"], event["block"]) for event in events]
 
@@ -28,14 +28,14 @@
     cache = PrefixCache(max_blocks=2, event_lag_s=5.0, event_loss_every=2)
     cache.store((1, 2), 100.0)
     cache.store((3,), 103.0)
-    assert told(cache, 0, 104.0) == []
-    assert told(cache, 0, 105.0) == [(1, "stored", 1)]
+    assert visible_events(cache, 0, 104.0) == []
+    assert visible_events(cache, 0, 105.0) == [(1, "stored", 1)]
     assert cache.events_after(0, 105.0)["next"] == 2
-    assert told(cache, 2, 108.0) == [(3, "stored", 3)]
+    assert visible_events(cache, 2, 108.0) == [(3, "stored", 3)]
     assert cache.events_after(2, 108.0)["next"] == 4
 
 
-def test_reader_ahead_of_a_new_engine_is_told_where_it_stands() -> None:
+def test_reader_ahead_of_a_new_engine_gets_its_newest_sequence() -> None:
     assert PrefixCache(max_blocks=2).events_after(500, 0.0)["next"] == 0
 
 
--- a/tests/test_standin_service.py
+++ b/tests/test_standin_service.py
@@ -1,4 +1,4 @@
-"""The service stand-in answers anything and logs what ran."""
+"""Test that the simulated service answers any request and logs the runs."""
 
 import asyncio
 from collections.abc import Iterator
@@ -6,12 +6,12 @@
 
 import aiohttp
 import pytest
-from standin_harness import Standin, call, eventually, standins
+from standin_harness import Standin, call, running_standins, wait_until
 
 
 @pytest.fixture
 def service() -> Iterator[Standin]:
-    with standins() as start:
+    with running_standins() as start:
         yield start("service", "--name", "hooks")
 
 
@@ -23,8 +23,8 @@
 @pytest.mark.parametrize("method", ["GET", "DELETE", "PATCH"])
 async def test_any_method_is_answered_and_logged(service: Standin, method: str) -> None:
     answer = await call(method, service.listening, "/a?b=1", headers={"X-Marker": "m1"})
-    told = {"service": "hooks", "method": method, "path": "/a?b=1", "marker": "m1"}
-    assert answer.body == told
+    expected = {"service": "hooks", "method": method, "path": "/a?b=1", "marker": "m1"}
+    assert answer.body == expected
     assert await runs(service) == [("", "m1", "finished")]
 
 
@@ -32,12 +32,12 @@
     assert (await call("POST", service.listening, "/", {"ping": 1})).body == {"ping": 1}
 
 
-async def test_call_runs_to_its_end_when_the_caller_left(service: Standin) -> None:
+async def test_call_finishes_after_the_caller_disconnects(service: Standin) -> None:
     await call("POST", service.listening, "/admin/mode", {"latency_s": 0.2})
     calling = asyncio.create_task(call("GET", service.listening, "/", None, {"X-Request-Id": "r"}))
-    await eventually(lambda: runs(service), lambda seen: seen == [("r", "", "running")])
+    await wait_until(lambda: runs(service), lambda seen: seen == [("r", "", "running")])
     calling.cancel()
-    await eventually(lambda: runs(service), lambda seen: seen == [("r", "", "finished")])
+    await wait_until(lambda: runs(service), lambda seen: seen == [("r", "", "finished")])
 
 
 @pytest.mark.parametrize(("mode", "reason"), [("leaving", "leaving"), ("refuse", "refused")])
@@ -48,7 +48,7 @@
     assert await runs(service) == []
 
 
-async def test_call_that_it_is_told_to_crash_on_ends_the_process(service: Standin) -> None:
+async def test_call_that_contains_the_crash_text_ends_the_process(service: Standin) -> None:
     await call("POST", service.listening, "/admin/mode", {"crash_on": "fatal"})
     assert (await call("POST", service.listening, "/", {"a": "harmless"})).status == 200
     with pytest.raises(aiohttp.ClientError):
@@ -57,7 +57,7 @@
         await call("GET", service.listening, "/v1/load")
 
 
-async def test_limit_is_named_with_each_answer_until_it_ends(service: Standin) -> None:
+async def test_limit_header_is_sent_until_the_limit_is_removed(service: Standin) -> None:
     named = []
     for limit_per_s in (2.5, None):
         await call("POST", service.listening, "/admin/mode", {"limit_per_s": limit_per_s})
