--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""Show a whole deployment at work: what was promised against what was seen."""
+"""Run a whole deployment and compare its guarantees with what was observed."""
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -38,7 +38,7 @@
 
 
 async def run_steps(demo: Demo) -> None:
-    """Run the steps in order; one that trips is a failed row, and the next one goes on."""
+    """Run the steps in order; a step that raises an error adds a failed row."""
     for step in STEPS:
         try:
             await step(demo)
@@ -47,7 +47,7 @@
 
 
 async def run_demo(name: str, table: Table) -> Fleet:
-    """Start the deployment, show everything and stop it; return the stopped fleet."""
+    """Start the deployment, run all steps and stop it; return the stopped fleet."""
     started_s = time.monotonic()
     async with Fleet(DEPLOYMENTS[name]) as fleet:
         regions = ", ".join(fleet.deployment.regions)
@@ -82,7 +82,7 @@
 
 
 async def _until_terminated(name: str, table: Table) -> Fleet:
-    """End the processes on SIGTERM too, as asyncio does on SIGINT."""
+    """Cancel the demo on SIGTERM, as asyncio does on SIGINT, so that its processes end."""
     task = asyncio.current_task()
     assert task is not None
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
--- a/demo/calls.py
+++ b/demo/calls.py
@@ -1,4 +1,4 @@
-"""Send requests as the users' applications do and judge what comes back."""
+"""Send requests as the users' applications do and check the answers."""
 
 import itertools
 import json
@@ -16,13 +16,13 @@
 PROBLEM = "application/problem+json"
 DONE_LINE = "data: [DONE]"
 REQUEST_TIMEOUT_S = 25.0
-LOST = (aiohttp.ClientError, OSError, TimeoutError, ValueError)
+REQUEST_ERRORS = (aiohttp.ClientError, OSError, TimeoutError, ValueError)
 _serials = itertools.count(1)
 
 
 @frozen(kw_only=True)
 class Caller:
-    """Hold who calls and which entry VM it uses."""
+    """Account of a caller and the entry VM that it uses."""
 
     fleet: Fleet
     vm: str
@@ -30,7 +30,7 @@
 
     @property
     def address(self) -> str:
-        """Return the entry VM's address as callers know it."""
+        """Return the entry VM's advertised caller address."""
         return self.fleet.entries[self.vm].advertised_caller
 
     def headers(self, class_name: str, **more: str) -> dict[str, str]:
@@ -40,7 +40,7 @@
 
 @define(kw_only=True)
 class Reply:
-    """Hold what a caller got: a whole answer, a problem, or neither."""
+    """Response to a caller: a complete answer, a problem, or neither."""
 
     status: int = 0
     text: str = ""
@@ -56,7 +56,7 @@
 
     @property
     def is_whole(self) -> bool:
-        """Tell whether this is the whole right answer."""
+        """Return whether the answer is complete and correct."""
         return self.status == 200 and self.is_ended and self.text == self.expected
 
     @property
@@ -70,7 +70,7 @@
         return (self.first_token_unix_s or self.ended_unix_s) - self.sent_unix_s
 
     def describe(self) -> str:
-        """Return what was seen in a few words."""
+        """Return a short description of the reply."""
         if self.problem:
             retry = f", Retry-After {self.retry_after} s" if self.retry_after else ""
             return f"{self.status} {self.problem['kind']}, run {self.problem['run']}{retry}"
@@ -82,7 +82,7 @@
 def chat_body(
     model: str, instructions: str, text: str, tokens: int, is_streamed: bool
 ) -> dict[str, Any]:
-    """Return a chat request; its marker finds its runs in the engines' logs."""
+    """Return a chat request with a marker that identifies its runs in the engines' logs."""
     return {
         "model": model,
         "messages": [
@@ -96,7 +96,7 @@
 
 
 def new_marker() -> str:
-    """Return a name that no other request of this run carries."""
+    """Return a marker that is unique in this process."""
     return f"demo-{next(_serials)}"
 
 
@@ -134,7 +134,7 @@
     body: dict[str, Any] | None = None,
     **headers: str,
 ) -> Reply:
-    """Call a plain service: it echoes a body, or names the marker that it was sent."""
+    """Call a plain service, which echoes the body or, without one, the marker."""
     sent = json.dumps({**body, "marker": marker}) if body else ""
     reply = Reply(expected=sent or marker)
 
@@ -148,7 +148,7 @@
 
 
 async def entries(caller: Caller, class_name: str) -> dict[str, Any]:
-    """Ask which entry VMs to use."""
+    """Return an entry VM's answer about which entry VMs to use."""
     headers = caller.headers(class_name)
     path = f"/v1/entries?class={class_name}"
     answer: dict[str, Any] = await caller.fleet.get(caller.address, path, headers=headers)
@@ -185,7 +185,7 @@
                 reply.problem = await response.json(content_type=None)
             else:
                 await read(response)
-    except LOST as error:
+    except REQUEST_ERRORS as error:
         reply.error = repr(error)
     reply.ended_unix_s = time.time()
     return reply
@@ -202,10 +202,10 @@
         elif line == DONE_LINE:
             reply.is_ended = True
         elif line.startswith("data: "):
-            _take_event(event, json.loads(line.removeprefix("data: ")), reply, on_first_token)
+            _apply_event(event, json.loads(line.removeprefix("data: ")), reply, on_first_token)
 
 
-def _take_event(
+def _apply_event(
     event: str, payload: dict[str, Any], reply: Reply, on_first_token: Callable[[], None]
 ) -> None:
     if event == "error":
--- a/demo/plans.py
+++ b/demo/plans.py
@@ -1,4 +1,4 @@
-"""State what each deployment's callers send."""
+"""Requests that each deployment's callers send."""
 
 from typing import Any
 
@@ -11,7 +11,7 @@
 
 @frozen(kw_only=True)
 class ChatPlan:
-    """Describe the chat requests of one class."""
+    """Chat requests of one class."""
 
     class_name: str
     model: str
@@ -28,7 +28,7 @@
 
 @frozen(kw_only=True)
 class ServicePlan:
-    """Describe the calls of a plain service of one class."""
+    """Calls of a plain service of one class."""
 
     class_name: str
     method: str
@@ -39,7 +39,7 @@
 
 @frozen(kw_only=True)
 class Plan:
-    """Describe one deployment's callers."""
+    """Requests of one deployment's callers."""
 
     home_region: str
     chats: tuple[ChatPlan, ...]
@@ -48,17 +48,17 @@
 
     @property
     def account(self) -> str:
-        """Return the paying account that lives in the home region."""
+        """Return the paying account of the home region."""
         return account_of(self.home_region)
 
     @property
     def home_bound(self) -> ChatPlan:
-        """Return the class that may not leave its home region."""
+        """Return the chat requests that must run in their home region."""
         return self.chats[0]
 
     @property
     def at_most_once(self) -> tuple[ChatPlan | ServicePlan, ...]:
-        """Return what may not run twice."""
+        """Return the requests that must not run twice."""
         return tuple(each for each in (*self.chats, *self.services) if each.takes_issued_id)
 
 
@@ -70,7 +70,7 @@
 async def send_marked(
     caller: Caller, plan: ChatPlan | ServicePlan, marker: str, **headers: str
 ) -> Reply:
-    """Send one request, whole, that carries a marker chosen by the caller."""
+    """Send one non-streamed request with a given marker."""
     if isinstance(plan, ServicePlan):
         return await call_service(
             caller, plan.class_name, plan.method, plan.path, marker, plan.body, **headers
@@ -81,7 +81,7 @@
 
 
 async def send(caller: Caller, plan: ChatPlan | ServicePlan, **headers: str) -> Reply:
-    """Send one request, whole."""
+    """Send one non-streamed request with a new marker."""
     return await send_marked(caller, plan, new_marker(), **headers)
 
 
--- a/demo/region_cut.py
+++ b/demo/region_cut.py
@@ -1,4 +1,4 @@
-"""Cut one region off and show what still works, and what is refused and how."""
+"""Partition one region off; show what is still served and how the rest is refused."""
 
 import asyncio
 import time
@@ -8,7 +8,7 @@
 from demo.steps import Demo, runs_of, seconds_until
 from harness.fleet import Fleet
 
-# A region counts as lost once its entry VMs have been silent for longer than they ever are.
+# Covers the time after which silent entry VMs make their region count as lost.
 REFUSAL_LIMIT_S = 22.0
 CONVERGED_LIMIT_S = 15.0
 DEADLINE_AHEAD_S = 2.0
@@ -16,7 +16,7 @@
 
 
 async def cut_off(fleet: Fleet, region: str) -> None:
-    """Hold back all bytes between a region and the others and the platform."""
+    """Partition a region off from the other regions and the platform."""
     for other in fleet.deployment.regions:
         if other != region:
             await fleet.fault(f"peer/{other}/{region}-*", "cut")
@@ -25,7 +25,7 @@
 
 
 async def show_region_cut(demo: Demo) -> None:
-    """Cut the home region off, look at both sides, and heal it."""
+    """Partition the home region off, check both sides, and end the partition."""
     fleet = demo.fleet
     await cut_off(fleet, demo.home)
     try:
@@ -55,7 +55,7 @@
 
 
 async def _show_refused(demo: Demo) -> None:
-    """Send home-bound work from outside until the region is known to be lost."""
+    """Send home-bound work from outside until it is refused because the region is lost."""
     plan = demo.plan.home_bound
     probes: list[tuple[str, Reply]] = []
 
@@ -72,7 +72,7 @@
         f"{last.describe()}" + (f"; so after {took_s:.1f} s of the cut" if took_s else ""),
         took_s is not None,
     )
-    await _show_honest(demo, probes)
+    await _show_refused_never_ran(demo, probes)
 
 
 async def _probe(demo: Demo, plan: ChatPlan) -> tuple[str, Reply]:
@@ -84,17 +84,17 @@
     return body["metadata"]["marker"], reply
 
 
-async def _show_honest(demo: Demo, probes: list[tuple[str, Reply]]) -> None:
-    """Let what the cut held back arrive, then look for runs that were said not to be."""
+async def _show_refused_never_ran(demo: Demo, probes: list[tuple[str, Reply]]) -> None:
+    """Let delayed bytes arrive and check that no request reported as not run has run."""
     await demo.fleet.fault("*", "pass")
     await asyncio.sleep(1.0)
-    unrun = [marker for marker, reply in probes if reply.problem.get("run") == "no"]
-    ran = [marker for marker in unrun if await runs_of(demo.fleet, marker)]
+    no_run = [marker for marker, reply in probes if reply.problem.get("run") == "no"]
+    ran = [marker for marker in no_run if await runs_of(demo.fleet, marker)]
     refused = sum(bool(reply.problem) for _, reply in probes)
     demo.table.add(
         "region cut",
         "what was said not to have run never ran, once healed either",
-        f"{refused} refusals of {len(probes)}, {len(unrun)} say 'not run', {len(ran)} of those ran"
+        f"{refused} refusals of {len(probes)}, {len(no_run)} say 'not run', {len(ran)} of those ran"
         + "".join(f"; {each.describe()}" for _, each in probes if not each.problem),
         refused == len(probes) and not ran,
     )
--- a/demo/steps.py
+++ b/demo/steps.py
@@ -22,7 +22,7 @@
 
 @define(kw_only=True)
 class Demo:
-    """Hold what the steps share."""
+    """State shared by the demo's steps."""
 
     fleet: Fleet
     plan: Plan
@@ -40,7 +40,7 @@
 
     @property
     def other_regions(self) -> list[str]:
-        """Return the regions beside home."""
+        """Return all regions but the home region."""
         return [each for each in self.fleet.deployment.regions if each != self.home]
 
     def target_s(self, class_name: str) -> float:
@@ -49,7 +49,7 @@
 
 
 async def seconds_until(condition: Condition, limit_s: float) -> float | None:
-    """Return the seconds until a condition holds, or None past the limit."""
+    """Return the seconds until a condition holds, or None if the limit passes first."""
     started_s = time.monotonic()
     while time.monotonic() - started_s < limit_s:
         if await condition():
@@ -64,7 +64,7 @@
 
 
 async def show_entries(demo: Demo) -> None:
-    """Ask a VM from the directory which entry VMs to use."""
+    """Show that an entry VM lists all entry VMs and issues request ids."""
     fleet, class_name = demo.fleet, demo.plan.home_bound.class_name
     listed = {each["name"] for each in (await fleet.get(fleet.platform, "/v1/directory"))["vms"]}
     caller = demo.caller(demo.other_regions[0], account=demo.plan.account)
@@ -87,7 +87,7 @@
 
 
 async def show_classes(demo: Demo) -> None:
-    """Send each class's requests, streamed and whole."""
+    """Send each class's requests, streamed and non-streamed."""
     for plan in demo.plan.chats:
         for is_streamed in (True, False):
             await _show_chat(demo, plan, is_streamed)
@@ -136,7 +136,7 @@
 
 
 async def show_home_bound(demo: Demo) -> None:
-    """Send home-bound work to an entry VM elsewhere; it makes one hop, to its home."""
+    """Send home-bound work to an entry VM of another region, which forwards it to the home."""
     plan = demo.plan.home_bound
     caller = demo.caller(demo.other_regions[0], account=demo.plan.account)
     body = plan.body(is_streamed=True)
@@ -151,7 +151,7 @@
 
 
 async def show_at_most_once(demo: Demo) -> None:
-    """Repeat work that may not run twice, through an entry VM of another region."""
+    """Repeat a non-repeatable request through an entry VM of another region."""
     for plan in demo.plan.at_most_once:
         first, second = demo.caller(demo.home), demo.caller(demo.other_regions[0])
         second = Caller(fleet=demo.fleet, vm=second.vm, account=first.account)
@@ -167,7 +167,7 @@
 
 
 async def show_publishing(demo: Demo) -> None:
-    """Publish a new class and use it everywhere."""
+    """Publish a new class and use it at every entry VM."""
     fleet, plan = demo.fleet, demo.plan.home_bound
     value = {**fleet.deployment.classes[plan.class_name], "home_bound": False}
     revision = await fleet.publish("config", {f"classes/{demo.plan.extra_class}": value})
@@ -215,7 +215,7 @@
 
     body = plan.body(is_streamed=True, tokens=STOPPED_STREAM_TOKENS)
     stream = asyncio.create_task(chat(leaving, plan.class_name, body, stop))
-    await _show_left(demo, leaving, stopped_s)
+    await _show_unlisted(demo, leaving, stopped_s)
     reply = await stream
     exit_code = await asyncio.to_thread(fleet.processes.wait, leaving.vm, STOP_LIMIT_S)
     demo.table.add(
@@ -227,23 +227,27 @@
     await _show_handed_over(demo, leaving, once, marker, headers)
 
 
-async def _show_left(demo: Demo, leaving: Caller, stopped_s: list[float]) -> None:
-    """Watch the leaving VM disappear from what the others tell callers."""
+async def _show_unlisted(demo: Demo, leaving: Caller, stopped_s: list[float]) -> None:
+    """Show that the other entry VMs stop listing the leaving VM."""
     watcher, class_name = demo.caller(demo.home), demo.plan.home_bound.class_name
 
-    async def has_left() -> bool:
+    async def is_unlisted() -> bool:
         if not stopped_s:
             return False
         answer = await entries(watcher, class_name)
         return leaving.vm not in {each["vm"] for each in answer["entries"]}
 
-    has_gone = await seconds_until(has_left, STOP_LIMIT_S) is not None
+    was_unlisted = await seconds_until(is_unlisted, STOP_LIMIT_S) is not None
     took_s = time.monotonic() - stopped_s[0] if stopped_s else STOP_LIMIT_S
     demo.table.add(
         "planned stop",
         f"callers are told of {leaving.vm} no more within {LEAVING_LIMIT_S} s",
-        f"gone from the entries after {took_s:.2f} s" if has_gone else "still among the entries",
-        has_gone and took_s <= LEAVING_LIMIT_S,
+        (
+            f"gone from the entries after {took_s:.2f} s"
+            if was_unlisted
+            else "still among the entries"
+        ),
+        was_unlisted and took_s <= LEAVING_LIMIT_S,
     )
 
 
@@ -254,14 +258,14 @@
     marker: str,
     headers: dict[str, str],
 ) -> None:
-    """Repeat a call whose issuer has stopped; its successor knows the outcome."""
+    """Repeat a call whose issuer has stopped; its successor has the outcome."""
     other = Caller(fleet=demo.fleet, vm=demo.caller(demo.home).vm, account=leaving.account)
     reply = await send_marked(other, plan, marker, **headers)
     runs = await runs_of(demo.fleet, marker)
-    is_honest = reply.is_whole or reply.problem.get("run") == "unknown"
+    is_consistent = reply.is_whole or reply.problem.get("run") == "unknown"
     demo.table.add(
         "planned stop",
         f"a repeat of a {plan.class_name} of {leaving.vm}'s gets its outcome or 'unknown', no run",
         f"{reply.describe()}; runs: {len(runs)}",
-        is_honest and len(runs) == 1,
+        is_consistent and len(runs) == 1,
     )
--- a/demo/table.py
+++ b/demo/table.py
@@ -1,4 +1,4 @@
-"""Collect what was promised and seen, and print it as a table."""
+"""Collect guarantees and observations, and render them as a table."""
 
 import textwrap
 from collections.abc import Iterable
@@ -13,7 +13,7 @@
 
 @frozen
 class Row:
-    """Hold one promise and what was seen of it."""
+    """A guarantee, what was observed, and whether it held."""
 
     step: str
     promised: str
@@ -23,22 +23,22 @@
 
 @define
 class Table:
-    """Collect rows in the order in which they were seen."""
+    """Rows in the order in which they were added."""
 
     rows: list[Row] = field(factory=list)
 
     def add(self, step: str, promised: str, seen: str, holds: bool) -> None:
-        """Note one promise and what was seen of it."""
+        """Add a guarantee and what was observed."""
         self.rows.append(Row(step, promised, seen, holds))
 
     @property
     def failed(self) -> list[Row]:
-        """Return the rows whose promise was not held."""
+        """Return the rows whose guarantee did not hold."""
         return [row for row in self.rows if not row.holds]
 
     @property
     def is_held(self) -> bool:
-        """Tell whether there is something to see and every promise was held."""
+        """Return whether there are rows and every guarantee held."""
         return bool(self.rows) and not self.failed
 
     def render(self) -> str:
--- a/demo/texts.py
+++ b/demo/texts.py
@@ -1,4 +1,4 @@
-"""Hold the texts that the demo's callers send."""
+"""Texts that the demo's callers send."""
 
 from importlib import resources
 
--- a/harness/__init__.py
+++ b/harness/__init__.py
@@ -1,1 +1,1 @@
-"""Start a whole deployment as separate processes for the demo, the proofs and the bench."""
+"""Start a deployment as separate processes for the demo, the proof tests and benchmarks."""
--- a/harness/deployments.py
+++ b/harness/deployments.py
@@ -1,4 +1,4 @@
-"""The two users' deployments at today's size."""
+"""The reference deployments of two users."""
 
 import hashlib
 from collections.abc import Iterator
@@ -12,7 +12,7 @@
 
 @frozen(kw_only=True)
 class PoolPlan:
-    """Describe one pool: its servers by region and how they are started."""
+    """One pool: its servers by region and their start options."""
 
     name: str
     kind: str
@@ -24,7 +24,7 @@
 
 @frozen(kw_only=True)
 class Deployment:
-    """Describe regions, delays, pools and classes of one user."""
+    """Regions, network delays, pools and classes of one user."""
 
     name: str
     regions: tuple[str, ...]
@@ -45,7 +45,7 @@
 
 
 def configuration_values(deployment: Deployment) -> dict[str, Any]:
-    """Return what the operators publish."""
+    """Return the configuration that the operators publish, by key."""
     values: dict[str, Any] = {"deployment": {"objective": deployment.objective}}
     values |= {f"classes/{name}": each for name, each in deployment.classes.items()}
     values |= {f"models/{name}": {"pool": pool} for name, pool in deployment.models.items()}
--- a/harness/fleet.py
+++ b/harness/fleet.py
@@ -1,4 +1,4 @@
-"""Run one deployment: platform, backend servers, entry VMs and the proxies between them."""
+"""Run one deployment: platform, backend servers, entry VMs and the proxy between them."""
 
 import asyncio
 import json
@@ -20,7 +20,7 @@
 
 @frozen(kw_only=True)
 class EntryPlan:
-    """Hold the addresses of one entry VM."""
+    """Location and addresses of one entry VM."""
 
     vm: str
     region: str
@@ -33,7 +33,7 @@
 
 @frozen(kw_only=True)
 class ServerPlan:
-    """Hold the addresses of one backend server."""
+    """Location and addresses of one backend server."""
 
     name: str
     region: str
@@ -44,9 +44,9 @@
 
 @define
 class Fleet:
-    """Hold a running deployment.
+    """Running deployment of separate processes.
 
-    Every connection passes the fault-injecting proxy, on routes named `caller/VM`,
+    All connections go through the fault-injecting proxy, on routes named `caller/VM`,
     `peer/REGION/VM` (from a region to a VM's peer port), `server/REGION/NAME` and
     `platform/REGION`.
     """
@@ -92,28 +92,28 @@
         )
 
     async def wait_ready(self, *vms: str) -> None:
-        """Return once these entry VMs say that they serve."""
+        """Wait until these entry VMs report that they are ready."""
         async with asyncio.timeout(READY_TIMEOUT_S):
             for vm in vms:
                 while not await self._is_ready(vm):
                     await asyncio.sleep(POLL_S)
 
     async def wait_connected(self) -> None:
-        """Return once all entry VMs know each other as ready.
+        """Wait until all entry VMs see each other as ready.
 
-        A VM is ready for its own callers a trip before other regions hear so. Whoever asks these
-        meanwhile for work that is bound to its region is refused.
+        A VM is ready for its own callers one network delay before other regions receive that
+        update. Until then, VMs of other regions refuse work that is bound to its region.
         """
         async with asyncio.timeout(READY_TIMEOUT_S):
             while not await self.is_connected():
                 await asyncio.sleep(POLL_S)
 
     async def is_connected(self) -> bool:
-        """Say whether every entry VM knows all others as ready."""
+        """Return whether every entry VM sees all others as ready."""
         statuses = await asyncio.gather(*(self.status(vm) for vm in self.entries))
-        return all(self._knows_all(each) for each in statuses)
+        return all(self._sees_all_ready(each) for each in statuses)
 
-    def _knows_all(self, status: dict[str, Any]) -> bool:
+    def _sees_all_ready(self, status: dict[str, Any]) -> bool:
         ready = {
             vm
             for vm, member in status["peers"].items()
@@ -122,33 +122,33 @@
         return ready | {status["vm"]} == set(self.entries)
 
     def freeze(self, name: str) -> None:
-        """Stop a process in its tracks."""
+        """Suspend a process with SIGSTOP."""
         self.processes.signal(name, signal.SIGSTOP)
 
     def thaw(self, name: str) -> None:
-        """Let a frozen process go on."""
+        """Resume a suspended process."""
         self.processes.signal(name, signal.SIGCONT)
 
     def terminate(self, name: str) -> None:
-        """Ask a process for a planned stop."""
+        """Start the planned stop of a process."""
         self.processes.signal(name, signal.SIGTERM)
 
     async def fault(self, routes: str, mode: str, **more: Any) -> None:
-        """Set a fault on the routes that a pattern names."""
+        """Set a fault mode on the proxy routes that match a pattern."""
         await self.post(self.control, "/faults", {"routes": routes, "mode": mode, **more})
 
     async def publish(self, keyspace: str, changes: dict[str, Any]) -> int:
-        """Publish as an operator; return the revision."""
+        """Publish changes to a keyspace as an operator and return the revision."""
         body = {"keyspace": keyspace, "changes": changes}
         answer = await self.post(self.platform, "/admin/publish", body)
         return int(answer["revision"])
 
     async def platform_mode(self, mode: str, **more: Any) -> None:
-        """Change how the platform behaves."""
+        """Set the platform's fault mode."""
         await self.post(self.platform, "/admin/mode", {"mode": mode, **more})
 
     async def runs(self) -> list[dict[str, Any]]:
-        """Return what every backend server ran, each with its server and region."""
+        """Return the runs of all backend servers, each with its server and region."""
         found: list[dict[str, Any]] = []
         for name, server in self.servers.items():
             answer = await self.get(f"{HOST}:{server.port}", "/admin/runs")
@@ -156,7 +156,7 @@
         return found
 
     async def status(self, vm: str) -> dict[str, Any]:
-        """Return what an entry VM says of itself, past the proxy."""
+        """Return an entry VM's status page, bypassing the proxy."""
         answer: dict[str, Any] = await self.get(self.direct(vm), "/v1/status")
         return answer
 
@@ -175,11 +175,11 @@
 
     @property
     def platform(self) -> str:
-        """Return the platform's own address."""
+        """Return the platform's address, bypassing the proxy."""
         return f"{HOST}:{self.platform_port}"
 
     def direct(self, vm: str) -> str:
-        """Return an entry VM's caller address past the proxy."""
+        """Return an entry VM's caller address, bypassing the proxy."""
         return f"{HOST}:{self.entries[vm].caller_port}"
 
     def in_region(self, region: str) -> list[str]:
@@ -218,8 +218,8 @@
         caller_port, peer_port, advertised_port = next(ports), next(ports), next(ports)
         self._route(f"caller/{vm}", advertised_port, caller_port, deployment.caller_delay_s)
         for other in deployment.regions:
-            is_near = other == region
-            delay_s = deployment.domain_delay_s if is_near else deployment.region_delay_s
+            is_local = other == region
+            delay_s = deployment.domain_delay_s if is_local else deployment.region_delay_s
             self._route(f"peer/{other}/{vm}", next(ports), peer_port, delay_s)
         self.entries[vm] = EntryPlan(
             vm=vm,
@@ -271,7 +271,7 @@
         self.control = self.processes.announcement("proxy")["control"]
 
     def start_server(self, name: str, *options: str) -> None:
-        """Start a backend server's stand-in again and wait until it is ready."""
+        """Restart a backend server's stand-in and wait until it is ready."""
         self._start_server(name, *options)
         self.processes.announcement(name)
 
@@ -292,7 +292,7 @@
         self.processes.start(name, arguments)
 
     def vm_values(self) -> dict[str, Any]:
-        """Return what the platform lists."""
+        """Return the platform's list of VMs, by key."""
         values: dict[str, Any] = {}
         for entry in self.entries.values():
             values[f"vms/{entry.vm}"] = {
@@ -308,7 +308,7 @@
         return values
 
     def server_value(self, name: str, state: str = "live") -> dict[str, Any]:
-        """Return how the platform lists a backend server."""
+        """Return a backend server's entry in the platform's list."""
         server = self.servers[name]
         return {
             "role": "backend_server",
@@ -358,5 +358,5 @@
         except aiohttp.ClientError:
             if self.processes.running[vm].poll() is not None:
                 log = self.processes.log(vm)[-3000:]
-                raise RuntimeError(f"{vm} ended while starting: {log}") from None
+                raise RuntimeError(f"{vm} exited during startup: {log}") from None
             return False
--- a/harness/peer_handlers.py
+++ b/harness/peer_handlers.py
@@ -1,4 +1,4 @@
-"""Peer handlers of which only one or two are needed."""
+"""Base class for peer handlers that implement only some methods."""
 
 from typing import Any
 
@@ -6,7 +6,7 @@
 
 
 class PeerHandlersStub(PeerBase):
-    """Answer no call; whoever needs some replaces their methods."""
+    """Peer handlers that implement no method; subclasses override those that they need."""
 
     async def Exchange(self, stream: Any) -> None:  # noqa: N802
         raise NotImplementedError
--- a/harness/processes.py
+++ b/harness/processes.py
@@ -1,4 +1,4 @@
-"""Start processes, wait until they are ready, and end just those."""
+"""Start processes, wait until they are ready, and end them."""
 
 import json
 import os
@@ -15,22 +15,23 @@
 from attrs import define, field
 
 STOP_TIMEOUT_S = 5.0
-# Below the range that the system gives to outgoing connections, which would take a port first.
+# Below the ephemeral port range, from which outgoing connections could take a port first.
 PORT_RANGE = range(12_000, 32_000)
 BLOCK_PORTS = 400
-# Held until this process ends: the first port of its block, and the block's next port to try.
+# Socket bound to the first port of this process's block, which reserves the block until the process
+# exits, and the block's other ports in the order in which they are tried.
 _guards: list[socket.socket] = []
 _next_ports: list[int] = []
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports that nothing listens on now, from a block of this process's own.
+    """Return free ports from a block reserved by this process.
 
-    Two harnesses that drew from one range took the same port in the seconds between the choice
-    and the daemon's start, which then failed. Nobody else draws from a guarded block.
+    If two harnesses shared one range, both could choose the same port in the seconds between
+    the choice and the daemon's start, and the second daemon would fail to start.
     """
     if not _guards:
-        _take_block()
+        _reserve_block()
     first = _guards[0].getsockname()[1]
     ports: list[int] = []
     for _ in range(len(_next_ports)):
@@ -40,10 +41,10 @@
             ports.append(port)
         if len(ports) == count:
             return ports
-    raise RuntimeError(f"fewer than {count} free ports from {first} on: stop what listens there")
+    raise RuntimeError(f"fewer than {count} free ports in block {first}: stop what listens there")
 
 
-def _take_block() -> None:
+def _reserve_block() -> None:
     firsts = list(PORT_RANGE[::BLOCK_PORTS])
     random.Random(os.urandom(8)).shuffle(firsts)
     for first in firsts:
@@ -56,7 +57,7 @@
         _guards.append(guard)
         _next_ports.extend(range(first + 1, first + BLOCK_PORTS))
         return
-    raise RuntimeError("every block of ports is taken: end the other harnesses")
+    raise RuntimeError("all port blocks are reserved: stop the other harnesses")
 
 
 def _is_free(port: int) -> bool:
@@ -71,7 +72,7 @@
 
 @define
 class Processes:
-    """Hold the processes started here, by name, and a folder for their files."""
+    """Started processes by name, and a folder for their files."""
 
     folder: Path = field(factory=lambda: Path(tempfile.mkdtemp(prefix="pomelobarrow-")))
     running: dict[str, "subprocess.Popen[bytes]"] = field(factory=dict)
@@ -79,9 +80,9 @@
     def start(
         self, name: str, arguments: Iterable[str], announces: bool = True
     ) -> "subprocess.Popen[bytes]":
-        """Start a module of this project; its log goes to the folder.
+        """Run a module of this project as a process that logs to the folder.
 
-        Stand-ins announce on standard output where they listen; daemons log there.
+        Stand-ins print their addresses on standard output; daemons write their log there.
         """
         with (self.folder / f"{name}.log").open("ab") as log:
             process = subprocess.Popen(
@@ -93,7 +94,7 @@
         return process
 
     def announcement(self, name: str) -> dict[str, Any]:
-        """Return the line by which a stand-in says that it is ready, waiting for it."""
+        """Wait for the line that a stand-in prints when it is ready, and return it."""
         stream = self.running[name].stdout
         assert stream is not None
         line = stream.readline()
@@ -103,7 +104,7 @@
         return announced
 
     def log(self, name: str) -> str:
-        """Return what a process wrote to its log."""
+        """Return the contents of a process's log."""
         return (self.folder / f"{name}.log").read_text(errors="replace")
 
     def signal(self, name: str, number: signal.Signals) -> None:
@@ -111,7 +112,7 @@
         self.running[name].send_signal(number)
 
     def wait(self, name: str, timeout_s: float) -> int:
-        """Return the exit code of a process that ends."""
+        """Wait for a process to exit and return its exit code."""
         process = self.running.pop(name)
         code = process.wait(timeout_s)
         if process.stdout is not None:
@@ -119,12 +120,12 @@
         return code
 
     def kill(self, name: str) -> None:
-        """End one process at once."""
+        """Kill one process and wait for its exit."""
         self.signal(name, signal.SIGKILL)
         self.wait(name, STOP_TIMEOUT_S)
 
     def stop_all(self) -> None:
-        """End every process started here."""
+        """Kill every process started here."""
         for process in self.running.values():
             process.send_signal(signal.SIGCONT)
             process.kill()
--- a/harness/serve.py
+++ b/harness/serve.py
@@ -1,4 +1,4 @@
-"""Run the program that the platform runs, with its metrics on a port that is free here."""
+"""Run the platform's daemon program with its metrics on a given port."""
 
 import cProfile
 import os
@@ -11,7 +11,7 @@
 
 
 def main(settings_path: str, metrics_port: int, profile_path: str = "") -> int:
-    """Run the program; it finds the adapter's settings module already loaded and changed."""
+    """Run the program after changing the adapter's settings module, which it then reuses."""
     serve: Callable[[], int] = runpy.run_path(str(PROGRAM))["main"]
     from pomelobarrow.platform import settings
 
--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: real daemons, faults from outside, promises checked from both ends."""
+"""Randomized soak test: real daemons, injected faults, checks at clients and servers."""
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -1,4 +1,4 @@
-"""Send requests as clients do and check what they get against what the servers ran."""
+"""Send client requests and check their outcomes against what the servers ran."""
 
 import asyncio
 import itertools
@@ -14,24 +14,25 @@
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 CONNECT_TIMEOUT_S = 1.0
-# After the route's timeout an answer may take this long on a busy machine.
+# Allowed beyond the route's timeout, since answers are slower on a busy machine.
 ANSWER_SLACK_S = 1.5
-DRAIN_WITHIN_S = 3.0
-# Bounds count only where nothing was wrong for this long.
+# A draining server must get no requests after this time.
+DRAIN_LIMIT_S = 3.0
+# A fault may affect requests for this long after it ended; limits are checked only later.
 CALM_S = 6.0
-LOST = (aiohttp.ClientError, TimeoutError, OSError)
+REQUEST_ERRORS = (aiohttp.ClientError, TimeoutError, OSError)
 
 
 @frozen(kw_only=True)
 class Outcome:
-    """Hold what a client saw of one request."""
+    """Result of one request as its client observed it."""
 
     request_id: str
     kind: str
     vm: str
     sent_s: float
     ended_s: float
-    # None where the connection ended without a whole answer.
+    # None if the connection ended before the answer was complete.
     status: int | None
     body: bytes = b""
     is_connected: bool = True
@@ -39,7 +40,7 @@
 
 @define(kw_only=True, slots=False)
 class Clients:
-    """Hold the clients' requests and what became of them."""
+    """Sender of random requests that records their outcomes."""
 
     fleet: SoakFleet
     random: Random
@@ -47,7 +48,7 @@
     _ids: "itertools.count[int]" = field(factory=itertools.count)
 
     async def run(self, until_s: float) -> None:
-        """Send until a time; wait for what is under way."""
+        """Send requests until a point in time, then wait for those in progress."""
         tasks: set[asyncio.Task[None]] = set()
         timeout = aiohttp.ClientTimeout(total=30, sock_connect=CONNECT_TIMEOUT_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
@@ -73,7 +74,7 @@
                 status = response.status
         except aiohttp.ClientConnectorError:
             is_connected = False
-        except LOST:
+        except REQUEST_ERRORS:
             pass
         self.outcomes.append(
             Outcome(
@@ -89,13 +90,17 @@
         )
 
 
-def broken_promises(clients: Clients, faults: Faults) -> list[str]:
-    """Return what was promised and not kept, a line each."""
-    found = [line for each in clients.outcomes for line in _of_one(each, clients.fleet, faults)]
+def find_violations(clients: Clients, faults: Faults) -> list[str]:
+    """Return a line for each violated guarantee."""
+    found = [
+        line
+        for each in clients.outcomes
+        for line in _violations_of_request(each, clients.fleet, faults)
+    ]
     return found + _late_at_draining_servers(clients.fleet, faults)
 
 
-def _of_one(outcome: Outcome, fleet: SoakFleet, faults: Faults) -> list[str]:
+def _violations_of_request(outcome: Outcome, fleet: SoakFleet, faults: Faults) -> list[str]:
     runs, kind = fleet.runs.counts[outcome.request_id], KINDS[outcome.kind][0]
     name = f"{outcome.request_id} ({outcome.kind} at {outcome.vm})"
     may_repeat = kind == "idempotent" or KINDS[outcome.kind][2]
@@ -103,15 +108,15 @@
     bound_s = TIMEOUT_MS / 1_000 + ANSWER_SLACK_S
     checks = (
         (runs > 1 and not may_repeat, f"{name} ran {runs} times"),
-        (outcome.status in NOT_RUN_STATUSES and runs > 0, f"{name} was refused and ran"),
+        (outcome.status in NOT_RUN_STATUSES and runs > 0, f"{name} was refused but ran"),
         (outcome.status == 200 and not _is_whole(outcome), f"{name} got {outcome.body[:80]!r}"),
         (
-            took_s > bound_s and not _disturbed(faults, outcome, ("daemon",)),
+            took_s > bound_s and not _overlaps_fault(faults, outcome, ("daemon",)),
             f"{name} took {took_s:.1f} s",
         ),
         (
             outcome.status is None and outcome.is_connected and _is_planned_cut(outcome, faults),
-            f"{name} was cut by a planned stop",
+            f"{name} was cut off by a planned stop",
         ),
     )
     return [line for is_broken, line in checks if is_broken]
@@ -123,9 +128,9 @@
     return outcome.body == whole_body(outcome.request_id)
 
 
-def _disturbed(faults: Faults, outcome: Outcome, kinds: tuple[str, ...]) -> bool:
+def _overlaps_fault(faults: Faults, outcome: Outcome, kinds: tuple[str, ...]) -> bool:
     return any(
-        span.what in kinds
+        span.kind in kinds
         and span.from_s < outcome.ended_s
         and span.until_s > outcome.sent_s - CALM_S
         for span in faults.spans
@@ -133,32 +138,32 @@
 
 
 def _is_planned_cut(outcome: Outcome, faults: Faults) -> bool:
-    """Tell whether only a planned stop can have cut a request off."""
-    stops = [s for s in faults.spans if s.what == "planned stop" and s.where == outcome.vm]
+    """Return whether only a planned stop can have cut a request off."""
+    stops = [s for s in faults.spans if s.kind == "planned stop" and s.target == outcome.vm]
     is_during = any(s.from_s - 1.0 < outcome.sent_s < s.until_s for s in stops)
     is_broken_by_server = KINDS[outcome.kind][0] == "stream"
-    is_calm = not _disturbed(faults, outcome, ("daemon", "server"))
+    is_calm = not _overlaps_fault(faults, outcome, ("daemon", "server"))
     return is_during and is_calm and not is_broken_by_server
 
 
 def _late_at_draining_servers(fleet: SoakFleet, faults: Faults) -> list[str]:
-    """Return what reached a server long after it said that it drains, in calm times."""
+    """Return requests that reached a draining server too late, unless other faults explain it."""
     found = []
     for span in faults.spans:
-        if span.what != DRAINING or _is_any_other(faults, span):
+        if span.kind != DRAINING or _overlaps_other_fault(faults, span):
             continue
         found += [
-            f"{request_id} reached {span.where}, which drains"
-            for request_id, at_s in fleet.runs.arrivals[span.where]
-            if span.from_s + DRAIN_WITHIN_S < at_s < span.until_s
+            f"{request_id} reached {span.target} after it began to drain"
+            for request_id, at_s in fleet.runs.arrivals[span.target]
+            if span.from_s + DRAIN_LIMIT_S < at_s < span.until_s
         ]
     return found
 
 
-def _is_any_other(faults: Faults, span: Span) -> bool:
-    """Tell whether the store or a daemon was disturbed during a span or shortly before."""
+def _overlaps_other_fault(faults: Faults, span: Span) -> bool:
+    """Return whether a fault hit the store or a daemon during a span or shortly before."""
     return any(
-        other.what in ("store", "daemon", "planned stop")
+        other.kind in ("store", "daemon", "planned stop")
         and other.from_s < span.until_s
         and other.until_s > span.from_s - CALM_S
         for other in faults.spans
@@ -166,7 +171,7 @@
 
 
 def served_share(clients: Clients, since_s: float) -> float:
-    """Return the share of the requests since a time that got what they asked for."""
+    """Return the share of the requests sent since a time that succeeded."""
     late = [outcome for outcome in clients.outcomes if outcome.sent_s >= since_s]
     served = [outcome for outcome in late if outcome.status == 200]
     return len(served) / len(late) if late else 0.0
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -1,4 +1,4 @@
-"""Start the daemons, the store and the servers of one soak, with a proxy before the latter."""
+"""Start the daemons, store and servers of one soak, the latter two behind a proxy."""
 
 from collections.abc import Mapping
 from contextlib import AsyncExitStack
@@ -24,16 +24,16 @@
     "stream": ("stream", 1, False),
     "resumable": ("stream", 3, True),
 }
-# Apart from the others, so that what is drawn for those stays the same.
+# Kept out of KINDS, so that the random choices among those stay the same for a given seed.
 FRAGILE, LIMITED = "fragile", "limited"
-OWN_POOLS = {FRAGILE: ("idempotent", 2, False), LIMITED: ("idempotent", 2, False)}
+DEDICATED_POOLS = {FRAGILE: ("idempotent", 2, False), LIMITED: ("idempotent", 2, False)}
 TIMEOUT_MS = 3_000
-LOST = (aiohttp.ClientError, TimeoutError, OSError)
+REQUEST_ERRORS = (aiohttp.ClientError, TimeoutError, OSError)
 
 
 @define(kw_only=True)
 class Daemon:
-    """Name a daemon and its address of loopback."""
+    """Daemon under test and its loopback address."""
 
     vm: str
     region: str
@@ -42,7 +42,7 @@
 
 @define(kw_only=True, slots=False)
 class SoakFleet:
-    """Hold everything that one soak runs."""
+    """Daemons, store, servers and proxy of one soak."""
 
     random: Random
     daemons_per_region: int = 2
@@ -72,27 +72,27 @@
         await self._stack.aclose()
 
     def front(self, daemon: Daemon) -> str:
-        """Return where clients reach a daemon."""
+        """Return the address of a daemon for clients."""
         return f"{daemon.ip}:{self._ports['Front']}"
 
     def readiness(self, daemon: Daemon) -> str:
-        """Return where a daemon says whether it is ready."""
+        """Return the URL of a daemon's readiness endpoint."""
         return f"http://{daemon.ip}:{self._ports['Ready']}/readiness"
 
     def start_daemon(self, daemon: Daemon) -> None:
-        """Start a daemon's program."""
+        """Start a daemon's process."""
         path = self.processes.folder / f"{daemon.vm}.yaml"
         path.write_text(yaml.safe_dump(self._settings(daemon)))
         arguments = ("harness.serve", str(path), str(self._ports["metrics"]))
         self.processes.start(daemon.vm, arguments, announces=False)
 
     def ended_daemons(self) -> list[str]:
-        """Return the daemons that ended by themselves, with their exit codes."""
+        """Return a line for each daemon that exited unexpectedly."""
         codes = {each.vm: self.processes.running[each.vm].poll() for each in self.daemons}
-        return [f"{vm} ended by itself: {code}" for vm, code in codes.items() if code is not None]
+        return [f"{vm} exited early: {code}" for vm, code in codes.items() if code is not None]
 
     def publish_configuration(self) -> None:
-        """Publish the next version."""
+        """Publish the next version of the configuration."""
         self.version += 3
         routes = [
             {
@@ -102,25 +102,25 @@
                 "Kind": kind,
                 "TimeoutMs": TIMEOUT_MS,
                 "GoalMs": 500,
-                "Service": name if name in OWN_POOLS else POOL,
+                "Service": name if name in DEDICATED_POOLS else POOL,
                 "Attempts": attempts,
                 "Resumable": resumable,
             }
-            for name, (kind, attempts, resumable) in (KINDS | OWN_POOLS).items()
+            for name, (kind, attempts, resumable) in (KINDS | DEDICATED_POOLS).items()
         ]
-        services = [{"Name": name, "MaxConnections": 500} for name in (POOL, *OWN_POOLS)]
+        services = [{"Name": name, "MaxConnections": 500} for name in (POOL, *DEDICATED_POOLS)]
         config = {"Version": self.version, "Routes": routes, "Services": services, "Limits": {}}
         self.store.put("op/config", config)
 
     def list_server(self, name: str, state: str = "ready") -> None:
-        """Write a server's entry."""
+        """Write the store entry of a server behind the proxy."""
         server = self.servers[name]
         self.list_address(name, server.region, server.address, POOL, state)
 
     def list_address(
         self, name: str, region: str, address: str, pool: str, state: str = "ready"
     ) -> None:
-        """Write the entry of a server of any pool."""
+        """Write the store entry of a server of any pool."""
         entry = {
             "Service": pool,
             "Address": address,
@@ -134,18 +134,18 @@
     async def send(
         self, session: aiohttp.ClientSession, daemon: Daemon, kind: str, id_: str, body: bytes
     ) -> int | None:
-        """Send a request of a pool without a proxy; return its status, None where it was lost."""
+        """Send a request of any kind; return its status, or None if the connection failed."""
         headers = {"Host": HOST, REQUEST_ID: id_, "Pomelobarrow-Request-Deadline": "3000"}
         url = f"http://{self.front(daemon)}/{kind}/x"
         try:
             async with session.post(url, headers=headers, data=body) as response:
                 await response.read()
                 return response.status
-        except LOST:
+        except REQUEST_ERRORS:
             return None
 
     async def fault(self, routes: str, mode: str) -> None:
-        """Set a fault on the proxy's routes that a pattern names."""
+        """Set a fault mode on the proxy routes that match a pattern."""
         url = f"http://{self._control}/faults"
         order = {"routes": routes, "mode": mode}
         async with aiohttp.ClientSession() as session, session.post(url, json=order) as response:
@@ -164,8 +164,8 @@
         for region in REGIONS:
             for number in range(self.servers_per_region):
                 name = f"server-{region}-{number + 1}"
-                seeded = Random(self.random.random())
-                server = SoakServer(name=name, region=region, runs=self.runs, random=seeded)
+                rng = Random(self.random.random())
+                server = SoakServer(name=name, region=region, runs=self.runs, random=rng)
                 runner = web.ServerRunner(web.Server(server.answer))
                 routes[name] = await self._listen(runner)
                 self.servers[name] = server
--- a/soak/limited.py
+++ b/soak/limited.py
@@ -1,4 +1,4 @@
-"""Backend servers that name a limit for themselves, and the clients that ask for more."""
+"""Backend servers that announce a request rate limit, and clients that exceed it."""
 
 import asyncio
 import itertools
@@ -14,15 +14,15 @@
 
 LIMIT_PER_S = 0.5
 REQUESTS_AT_ONCE = 4
-# The rule: from so long after the first naming on, in any such window.
-BINDS_AFTER_S = 5.0
+# From this long after the first request, no window may hold more than MAX_IN_WINDOW requests.
+ENFORCED_AFTER_S = 5.0
 WINDOW_S = 4.0
-MOST_IN_WINDOW = 1.5 * WINDOW_S * LIMIT_PER_S + 5
+MAX_IN_WINDOW = 1.5 * WINDOW_S * LIMIT_PER_S + 5
 
 
 @define(kw_only=True, slots=False)
 class LimitedServers:
-    """Hold two servers of each region, of which one names a limit, and what it got."""
+    """Two servers per region, one of which announces a limit, with its request times."""
 
     fleet: SoakFleet
     random: Random
@@ -42,26 +42,26 @@
         await asyncio.gather(*(runner.cleanup() for runner in self._runners))
 
     async def send_until(self, until_s: float) -> None:
-        """Send more than the limit at any daemon."""
+        """Send more requests than the limit allows, at random daemons."""
         timeout = aiohttp.ClientTimeout(total=10)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while time.monotonic() < until_s:
                 await asyncio.gather(*(self._send(session) for _ in range(REQUESTS_AT_ONCE)))
                 await asyncio.sleep(self.random.uniform(0.05, 0.3))
 
-    def broken_promises(self) -> list[str]:
-        """Return the servers that got more than they said they take."""
+    def find_violations(self) -> list[str]:
+        """Return a line for each server that received more requests than it announced."""
         found = []
         for name, arrivals_s in self.arrivals_s.items():
-            bound_s = arrivals_s[0] + BINDS_AFTER_S if arrivals_s else 0.0
-            late = [at_s for at_s in arrivals_s if at_s >= bound_s]
+            enforced_from_s = arrivals_s[0] + ENFORCED_AFTER_S if arrivals_s else 0.0
+            late = [at_s for at_s in arrivals_s if at_s >= enforced_from_s]
             most = max((sum(t <= at < t + WINDOW_S for at in late) for t in late), default=0)
-            if most > MOST_IN_WINDOW:
-                found.append(f"{name} takes {LIMIT_PER_S} a second and got {most} in {WINDOW_S} s")
+            if most > MAX_IN_WINDOW:
+                found.append(f"{name} allows {LIMIT_PER_S}/s but received {most} in {WINDOW_S} s")
         return found
 
     def served_share(self, since_s: float) -> float:
-        """Return the share of the requests since a time that were answered."""
+        """Return the share of the requests sent since a time that succeeded."""
         statuses = [status for sent_s, status in self.statuses if sent_s >= since_s]
         return statuses.count(200) / len(statuses) if statuses else 1.0
 
--- a/soak/servers.py
+++ b/soak/servers.py
@@ -1,4 +1,4 @@
-"""Backend servers of the soak: they run requests, count the runs and stream events."""
+"""Backend servers of the soak: they answer requests, count runs and stream events."""
 
 import asyncio
 import time
@@ -13,34 +13,34 @@
 
 
 def whole_body(request_id: str) -> bytes:
-    """Return what a request's whole answer is."""
+    """Return the complete answer to a request."""
     return f"answer to {request_id}".encode()
 
 
 def events_after(request_id: str, last: int) -> list[bytes]:
-    """Return the events of a request's stream after one of them."""
+    """Return the events of a request's stream that follow a given event number."""
     numbers = range(last + 1, EVENTS + 1)
     return [f"id: {number}\ndata: {request_id}/{number}\n\n".encode() for number in numbers]
 
 
 @define(slots=False)
 class Runs:
-    """Hold what all servers ran, by request id."""
+    """Run counts by request id and arrivals by server, over all servers."""
 
     counts: Counter[str] = field(factory=Counter)
-    # When each server got each request, by the steady clock.
+    # Request ids and their arrival times by the monotonic clock, by server.
     arrivals: defaultdict[str, list[tuple[str, float]]] = field(factory=lambda: defaultdict(list))
 
 
 @define(slots=False)
 class SoakServer:
-    """Answer for one listed server."""
+    """Handler of one listed server that fails at random."""
 
     name: str
     region: str
     runs: Runs
     random: Random
-    # Where daemons reach it, through the proxy.
+    # Address for daemons, through the proxy.
     address: str = ""
 
     async def answer(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -58,7 +58,7 @@
             try:
                 return await self._stream(request, request_id, headers)
             except ConnectionError:
-                # The daemon has given the request up, as it should where its client has left.
+                # The daemon cancelled the request, as it should when its client disconnects.
                 return web.Response(status=500)
         await asyncio.sleep(self.random.uniform(0.005, 0.06))
         if self.random.random() < 0.03:
--- a/soak/store.py
+++ b/soak/store.py
@@ -1,4 +1,4 @@
-"""A store that daemons read: revisions, listings and watches, in the soak's own process."""
+"""In-process key-value store for daemons, with revisions, listings and watches."""
 
 import asyncio
 import base64
@@ -13,21 +13,21 @@
 
 @define(slots=False)
 class SoakStore:
-    """Hold items by key as (revision, value); a deleted key's value is None."""
+    """Items by key as (revision, value); the value of a deleted key is None."""
 
     items: dict[str, tuple[int, Any]] = field(factory=dict)
     revision: int = 1
     changed: asyncio.Event = field(factory=asyncio.Event)
 
     def put(self, key: str, value: Any) -> None:
-        """Write a key, or delete it with None; wake the watches."""
+        """Write a key, or delete it if the value is None, and wake the watches."""
         self.revision += 1
         self.items[key] = (self.revision, value)
         self.changed.set()
         self.changed = asyncio.Event()
 
     def routes(self) -> list[web.RouteDef]:
-        """Return the calls that daemons make."""
+        """Return the routes that daemons call."""
         return [web.get("/kv-range", self._list), web.get("/kv-watch", self._watch)]
 
     async def _list(self, request: web.Request) -> web.Response:
@@ -48,12 +48,12 @@
         return web.json_response({"events": events, "StoreRevision": self.revision})
 
     def _events(self, prefix: str, after: int) -> list[dict[str, Any]]:
-        news = sorted(
+        changed_keys = sorted(
             (revision, key)
             for key, (revision, _) in self.items.items()
             if revision > after and key.startswith(prefix)
         )
-        return [self._item(key) for _, key in news]
+        return [self._item(key) for _, key in changed_keys]
 
     def _item(self, key: str) -> dict[str, Any]:
         revision, value = self.items[key]
--- a/tests/proof_report.py
+++ b/tests/proof_report.py
@@ -1,4 +1,4 @@
-"""Print the proofs of a run as a table: promise, faults run, test id, figures, result."""
+"""Print the proof tests of a run as a table, with their guarantees, faults, figures and results."""
 
 from collections.abc import Callable, Iterator
 from typing import Any
--- a/tests/proof_rows.py
+++ b/tests/proof_rows.py
@@ -20,7 +20,7 @@
 
 @frozen(kw_only=True)
 class ProofRow:
-    """Hold one row of a proofs page."""
+    """Row of a proofs page."""
 
     promise: str
     faults: str
@@ -35,7 +35,7 @@
 
 
 def find_row(rows: list[ProofRow], test_id: str) -> ProofRow | None:
-    """Return the row of a test; one without brackets or of a class stands for all in it."""
+    """Return the row of a test; a row without parameters, or of a class, covers all its tests."""
     by_id = {row.test_id: row for row in rows}
     ids = (test_id, test_id.partition("[")[0], test_id.rpartition("::")[0])
     return next((by_id[each] for each in ids if each in by_id), None)
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""Test the demo's table, its judgement of answers and its texts."""
+"""The demo's table, its check of answers, its plans and its texts."""
 
 import pytest
 
--- a/tests/test_proof_answers.py
+++ b/tests/test_proof_answers.py
@@ -1,4 +1,4 @@
-"""Prove that each caller gets the whole answer to its own request: point 4."""
+"""Prove guarantee 4: each caller gets the complete answer to its own request."""
 
 import asyncio
 from collections import Counter
@@ -33,13 +33,13 @@
 LONG = evolve(REVIEW, tokens=300, deadline_s=15.0)
 LONG_WHOLE = evolve(LONG, is_streamed=False)
 LONG_QUERY = evolve(QUERY, tokens=300, deadline_s=15.0)
-HOME = ("warsaw-1", "paying-warsaw")
+LOCAL = ("warsaw-1", "paying-warsaw")
 ENGINES = ("contracts-warsaw-1", "contracts-warsaw-2")
 SERVERS = "server/warsaw/contracts-*"
-# From another region: the entry VM passes the request on to a peer in Rotterdam.
-AWAY = ("tallinn-1", "paying-rotterdam")
+# From another region: the entry VM forwards the request to a peer in Rotterdam.
+FORWARDED = ("tallinn-1", "paying-rotterdam")
 PEERS = ("rotterdam-1", "rotterdam-2")
-PATIENT = aiohttp.ClientTimeout(total=25.0)
+CALLER_TIMEOUT = aiohttp.ClientTimeout(total=25.0)
 
 
 @pytest_asyncio.fixture(scope="module", loop_scope="module")
@@ -50,15 +50,15 @@
 
 @pytest_asyncio.fixture(loop_scope="module")
 async def session(fleet: Fleet) -> AsyncIterator[aiohttp.ClientSession]:
-    async with caller_session(PATIENT) as opened:
-        ways = [(ask, *way) for way in (HOME, AWAY) for ask in (QUERY, DESK_CALL)]
+    async with caller_session(CALLER_TIMEOUT) as opened:
+        ways = [(ask, *way) for way in (LOCAL, FORWARDED) for ask in (QUERY, DESK_CALL)]
         await serves_again(fleet, opened, ways)
         yield opened
     await settle(fleet, RunLog(fleet))
 
 
 class Streams:
-    """Hold streams that have begun, so that a fault can strike in the middle."""
+    """Streams in progress, for tests that inject a fault in mid-stream."""
 
     def __init__(self, fleet: Fleet, session: aiohttp.ClientSession) -> None:
         self._fleet = fleet
@@ -67,7 +67,7 @@
         self._tasks: list[asyncio.Task[Reply]] = []
 
     async def begin(self, way: tuple[str, str], asks: list[Ask]) -> None:
-        """Send requests and return once each has brought a token; whole ones just run."""
+        """Send requests and return once each streamed one has received a token."""
         vm, account = way
         for ask in asks:
             begun = asyncio.Event()
@@ -84,8 +84,8 @@
     async def replies(self) -> list[Reply]:
         return await asyncio.gather(*self._tasks)
 
-    def leave(self) -> None:
-        """Let every caller go without a word."""
+    def disconnect(self) -> None:
+        """Disconnect all callers."""
         for task in self._tasks:
             task.cancel()
 
@@ -108,13 +108,12 @@
 async def test_many_callers_each_get_their_own_answer(
     fleet: Fleet, session: aiohttp.ClientSession, figure: Figure
 ) -> None:
-    """Many callers ask at once while the links stall and go on, so that answers overtake others.
+    """Many callers send requests while links stall and recover, so that answers arrive reordered.
 
-    A stalled connection delivers late what others have long brought; none may end at the wrong
-    caller or be short.
+    No answer may reach the wrong caller or be truncated.
     """
     asks = [QUERY, WHOLE_QUERY, DESK_CALL, REVIEW] * 15
-    ways = (HOME, AWAY, ("tallinn-2", "paying-tallinn"))
+    ways = (LOCAL, FORWARDED, ("tallinn-2", "paying-tallinn"))
     sending = [
         asyncio.create_task(evolve(ask, deadline_s=15.0).send(fleet, session, *way))
         for ask in asks
@@ -140,21 +139,22 @@
 ) -> None:
     """Each connection to an engine closes after some bytes, often in the middle of an event.
 
-    The rest is fetched from the next whole event on; a half event is not passed on twice.
+    The gateway resumes after the last complete event and must not relay part of an event twice.
     """
     await fleet.fault(SERVERS, "close", after_bytes_to_client=after_bytes)
-    await streams.begin(HOME, [LONG, LONG_WHOLE, LONG_QUERY] * 2)
+    await streams.begin(LOCAL, [LONG, LONG_WHOLE, LONG_QUERY] * 2)
     await check(fleet, await streams.replies(), figure, "answered")
 
 
 async def test_a_stream_on_a_silent_connection_is_resumed_exactly(
     fleet: Fleet, streams: Streams, figure: Figure
 ) -> None:
-    """Connections to engines go silent for good in mid-stream while new ones work.
+    """Open connections to engines stop delivering in mid-stream while new ones work.
 
-    No error ever comes. The next byte's deadline passes, and a new connection brings the rest.
+    No error is reported. The deadline for the next byte passes, and the gateway fetches the rest
+    over a new connection.
     """
-    await streams.begin(HOME, [LONG, LONG_QUERY] * 3)
+    await streams.begin(LOCAL, [LONG, LONG_QUERY] * 3)
     await fleet.fault(SERVERS, "silent")
     await check(fleet, await streams.replies(), figure, "answered")
 
@@ -162,13 +162,13 @@
 async def test_an_answer_from_a_killed_engine_never_looks_whole(
     fleet: Fleet, streams: Streams, figure: Figure
 ) -> None:
-    """Engines are killed in mid-stream: what they had in memory is gone.
+    """Engines are killed in mid-stream and lose their state.
 
-    A begun stream ends with an error event; a whole answer of which nothing was passed on yet
-    comes from another engine instead.
+    A stream that has begun ends with an error event. A non-streamed answer, of which nothing was
+    relayed yet, comes from another engine instead.
     """
     log = RunLog(fleet)
-    await streams.begin(HOME, [LONG, LONG_WHOLE] * 6)
+    await streams.begin(LOCAL, [LONG, LONG_WHOLE] * 6)
     await log.kill(ENGINES[0])
     await log.revive(ENGINES[0])
     await check(fleet, await streams.replies(), figure, "answered", "broken off, run unknown")
@@ -176,11 +176,13 @@
     assert [each.problem for each in whole if not each.is_answered] == []
 
 
-@pytest.mark.parametrize("killed", [(HOME, HOME[:1]), (AWAY, PEERS)], ids=["entry VM", "peers"])
+@pytest.mark.parametrize(
+    "killed", [(LOCAL, LOCAL[:1]), (FORWARDED, PEERS)], ids=["entry VM", "peers"]
+)
 async def test_an_answer_from_a_killed_daemon_never_looks_whole(
     fleet: Fleet, streams: Streams, killed: tuple[tuple[str, str], tuple[str, ...]], figure: Figure
 ) -> None:
-    """An entry VM, or the peers that it passed streams on to, are killed in mid-stream.
+    """An entry VM, or the peers to which it forwarded streams, are killed in mid-stream.
 
     The caller's connection breaks without the end event, or the entry VM sends an error event.
     """
@@ -198,8 +200,8 @@
 async def test_a_forwarded_stream_on_a_silent_link_never_looks_whole(
     fleet: Fleet, streams: Streams, figure: Figure
 ) -> None:
-    """The connections between two entry VMs go silent for good in the middle of streams."""
-    await streams.begin(AWAY, [LONG, LONG_QUERY] * 3)
+    """The connections from an entry VM to its peers stop delivering in mid-stream."""
+    await streams.begin(FORWARDED, [LONG, LONG_QUERY] * 3)
     await fleet.fault("peer/tallinn/rotterdam-*", "silent")
     await check(fleet, await streams.replies(), figure, "answered", "broken off, run unknown")
 
@@ -210,29 +212,29 @@
 ) -> None:
     """The connection to a service closes within the headers or the body of its answer."""
     await fleet.fault("server/warsaw/desk-*", "close", after_bytes_to_client=after_bytes)
-    replies = [await DESK_CALL.send(fleet, session, *HOME) for _ in range(3)]
+    replies = [await DESK_CALL.send(fleet, session, *LOCAL) for _ in range(3)]
     await check(fleet, replies, figure, "nothing", "refused, run unknown")
 
 
-@pytest.mark.parametrize("way", [HOME, AWAY], ids=["own region", "forwarded"])
+@pytest.mark.parametrize("way", [LOCAL, FORWARDED], ids=["own region", "forwarded"])
 async def test_the_engine_stops_when_its_caller_leaves(
     fleet: Fleet, streams: Streams, way: tuple[str, str], figure: Figure
 ) -> None:
-    """Callers close their connections in mid-stream; nobody will read the rest.
+    """Callers close their connections in mid-stream.
 
-    The engines are told to cancel, and their slots are free for others.
+    The engines must receive a cancellation and free their slots.
     """
     await streams.begin(way, [evolve(LONG, tokens=4_000)] * 4)
-    streams.leave()
+    streams.disconnect()
     await wait_until(RunLog(fleet).is_idle)
     runs = [run for run in await fleet.runs() if run["state"] == "cancelled"]
     figure("cancelled runs", len(runs))
     assert len(runs) >= 4
     assert all(run["output_tokens"] < 4_000 for run in runs)
 
-    async def has_no_charge_left() -> bool:
+    async def has_none_in_flight() -> bool:
         states = await asyncio.gather(*(fleet.status(vm) for vm in fleet.entries))
-        charges = [state["dispatch"]["in_flight"].values() for state in states]
-        return not any(count for each in charges for count in each)
+        in_flight_counts = [state["dispatch"]["in_flight"].values() for state in states]
+        return not any(count for each in in_flight_counts for count in each)
 
-    await wait_until(has_no_charge_left)
+    await wait_until(has_none_in_flight)
--- a/tests/test_proof_at_most_once.py
+++ b/tests/test_proof_at_most_once.py
@@ -1,4 +1,4 @@
-"""Prove that what may not be repeated runs at most once: point 6 of what must always hold."""
+"""Prove guarantee 6: a request that may not be repeated runs at most once."""
 
 import asyncio
 import os
@@ -26,7 +26,7 @@
 FAULTS_AT_ONCE = 3
 MAX_REPEATS = 3
 ISSUE_TIMEOUT = aiohttp.ClientTimeout(total=1.0)
-PATIENCE = aiohttp.ClientTimeout(total=3.0)
+CALLER_TIMEOUT = aiohttp.ClientTimeout(total=3.0)
 POLL_S = 0.01
 ASKS = (QUERY, WHOLE_QUERY, DESK_CALL)
 LINK_FAULTS: tuple[dict[str, Any], ...] = (
@@ -51,14 +51,14 @@
 @pytest_asyncio.fixture(loop_scope="module")
 async def session(fleet: Fleet) -> AsyncIterator[aiohttp.ClientSession]:
     connector = aiohttp.TCPConnector(limit=0, force_close=True)
-    async with aiohttp.ClientSession(connector=connector, timeout=PATIENCE) as opened:
+    async with aiohttp.ClientSession(connector=connector, timeout=CALLER_TIMEOUT) as opened:
         yield opened
     await fleet.fault("*", "pass")
 
 
 @define(kw_only=True)
 class Schedule:
-    """Send requests under random faults; every choice comes from the seed."""
+    """Random schedule of requests and faults, drawn from a seed."""
 
     fleet: Fleet
     session: aiohttp.ClientSession
@@ -72,20 +72,20 @@
     _busy: set[str] = field(factory=set)
 
     async def run(self) -> None:
-        """Let callers work through all requests while faults come and go."""
+        """Send all requests while faults are injected and healed."""
         async with asyncio.TaskGroup() as tasks:
             for _ in range(FAULTS_AT_ONCE):
-                tasks.create_task(self._keep_faulting())
+                tasks.create_task(self._inject_faults())
             for _ in range(CALLERS):
-                tasks.create_task(self._keep_asking())
+                tasks.create_task(self._send_requests())
 
-    async def _keep_asking(self) -> None:
+    async def _send_requests(self) -> None:
         while self._started < REQUESTS:
             self._started += 1
-            await self._ask_until_told(f"once-{self._started}")
+            await self._send_until_settled(f"once-{self._started}")
 
-    async def _ask_until_told(self, marker: str) -> None:
-        """Ask as a careful caller does: repeat under the same id while the outcome is unknown."""
+    async def _send_until_settled(self, marker: str) -> None:
+        """Send a request and repeat it under the same id while its outcome is unknown."""
         ask, account = self.rng.choice(ASKS), f"paying-{self.rng.choice(VASKTORU.regions)}"
         key = "" if self.rng.random() < 0.2 else await self._issued_id(account, ask)
         vm = self._entry_for(account)
@@ -124,24 +124,24 @@
 
     def _entry_for(self, account: str) -> str:
         region = account.removeprefix("paying-")
-        near = self.fleet.in_region(region)
-        return self.rng.choice(near) if self.rng.random() < 0.6 else self._any_entry()
+        local_vms = self.fleet.in_region(region)
+        return self.rng.choice(local_vms) if self.rng.random() < 0.6 else self._any_entry()
 
     def _any_entry(self) -> str:
         return self.rng.choice(list(self.fleet.entries))
 
-    async def _keep_faulting(self) -> None:
+    async def _inject_faults(self) -> None:
         while len(self.finals) < REQUESTS:
             target = self.rng.choice([*self.fleet.entries, *self.fleet.servers])
             if target in self._busy:
                 continue
             self._busy.add(target)
             heal = await self._fault(target)
-            await self._until_told(self.rng.randint(4, 20))
+            await self._wait_for_finals(self.rng.randint(4, 20))
             await heal()
             self._busy.discard(target)
 
-    async def _until_told(self, more: int) -> None:
+    async def _wait_for_finals(self, more: int) -> None:
         due = min(len(self.finals) + more, REQUESTS)
         while len(self.finals) < due:
             await asyncio.sleep(POLL_S)
@@ -184,11 +184,12 @@
 async def test_nothing_runs_twice_under_random_faults(
     fleet: Fleet, session: aiohttp.ClientSession, figure: Figure
 ) -> None:
-    """Callers send queries and desk calls while three faults at a time come and go.
+    """Callers send queries and desk calls while three faults at a time are injected.
 
-    Entry VMs, engines and services freeze, wake, die and restart, and links fail at every step.
-    Whoever got no clear answer repeats under the same issued id, to the same entry, to another,
-    or to three at once. Each order may be placed once, or it is doubled at the smelter.
+    Entry VMs, engines and services are frozen, resumed, killed and restarted, and links fail at
+    every step. Callers with an unknown outcome repeat the request under the same issued id, at
+    the same entry VM or another; some send it three times at once. Each order must run at most
+    once, because a second run would place it twice.
     """
     seed = int(os.environ.get(SEED_VARIABLE) or SystemRandom().randrange(2**32))
     print(f"{SEED_VARIABLE}={seed}")
@@ -204,7 +205,7 @@
         figure(name, f"{count / len(schedule.finals):.0%}")
     figure("repeats", schedule.repeats)
     figure("faults", sum(schedule.faults.values()))
-    doubled = {each.marker: starts[each.marker] for each in schedule.replies}
-    assert {marker: count for marker, count in doubled.items() if count > 1} == {}
+    runs_by_marker = {each.marker: starts[each.marker] for each in schedule.replies}
+    assert {marker: count for marker, count in runs_by_marker.items() if count > 1} == {}
     assert untrue(schedule.replies, starts) == []
     assert len(schedule.finals) == REQUESTS
--- a/tests/test_proof_circle.py
+++ b/tests/test_proof_circle.py
@@ -1,4 +1,4 @@
-"""Prove that no request goes in a circle between regions or entry VMs."""
+"""Prove that no request is forwarded in a loop between regions or entry VMs."""
 
 import asyncio
 import json
@@ -38,12 +38,12 @@
 
 
 class FakeRegion:
-    """Stand for a region's own servers: no place is ever free, whatever its load says."""
+    """Local servers that refuse every request, whatever load they report."""
 
-    def __init__(self, visits: list[str], vm: str, believed_servers: int) -> None:
+    def __init__(self, visits: list[str], vm: str, assumed_servers: int) -> None:
         self.visits, self.vm = visits, vm
         self.table = SimpleNamespace(
-            usable=lambda pool, now: range(believed_servers),
+            usable=lambda pool, now: range(assumed_servers),
             service_times=lambda pool: SimpleNamespace(s_per_prefill_token=0.0),
         )
 
@@ -57,7 +57,7 @@
 
 
 class FakePeers:
-    """Carry forwards to the other entry VMs of the model, with this VM's own wrong views."""
+    """Forwarder to the other entry VMs of the model, based on this VM's own wrong view."""
 
     def __init__(self, model: "Model", vm: str, loads: dict[str, RegionLoad]) -> None:
         self.model, self.vm, self.loads = model, vm, loads
@@ -73,17 +73,17 @@
     async def forward_to_issuer(
         self, vm: str, incarnation: int, request: GatewayRequest, attempt: Attempt, sink: AnswerSink
     ) -> AttemptResult:
-        return await self.model.forward(self.vm, self.model.believed_issuer[self.vm], request)
+        return await self.model.forward(self.vm, self.model.assumed_issuer[self.vm], request)
 
 
 class Model:
-    """Join the real dispatchers of six entry VMs, each with loads and issuers of its own belief."""
+    """Six entry VMs with real dispatchers, each with its own view of loads and issuers."""
 
-    def __init__(self, beliefs: dict[str, Any]) -> None:
+    def __init__(self, views: dict[str, Any]) -> None:
         self.hops: list[tuple[str, str]] = []
         self.visits: list[str] = []
-        self.believed_issuer: dict[str, str] = beliefs["issuers"]
-        self.claims = {vm: self._claims(vm, beliefs["servers"][vm]) for vm in VMS}
+        self.assumed_issuer: dict[str, str] = views["issuers"]
+        self.claims = {vm: self._claims(vm, views["servers"][vm]) for vm in VMS}
 
     def _claims(self, vm: str, servers: dict[str, int]) -> ClaimedDispatch:
         region = vm.partition("-")[0]
@@ -154,7 +154,7 @@
     )
 
 
-beliefs = st.fixed_dictionaries(
+views = st.fixed_dictionaries(
     {
         "servers": st.fixed_dictionaries(
             {
@@ -169,7 +169,7 @@
 
 @settings(max_examples=150, deadline=None)
 @given(
-    views=beliefs,
+    views=views,
     entry=st.sampled_from(VMS),
     issuer=st.sampled_from(VMS),
     home=st.sampled_from(REGIONS),
@@ -186,9 +186,9 @@
     repeatable: bool,
     bound: bool,
 ) -> None:
-    # Six dispatchers hold loads and issuers that contradict each other, and no region really has
-    # a place. Whoever takes the request may pass it on, again after a refusal; whoever gets it
-    # from a peer never does, and bound work is tried at home alone.
+    # Six dispatchers have contradictory views of loads and issuers, and no server is free. The VM
+    # that accepts the request may forward it, and again after a refusal; a VM that receives it from
+    # a peer must not, and home-bound work is tried in its home region only.
     model = Model(views)
     request_id = f"{entry}-1"
     if is_claimed:
@@ -216,15 +216,15 @@
 
 
 def _forwards(fleet: Fleet, vm: str) -> list[str]:
-    """Return the ids of the requests that an entry VM passed on."""
+    """Return the ids of the requests that an entry VM forwarded."""
     lines = (json.loads(line) for line in fleet.processes.log(vm).splitlines() if line[:1] == "{")
     return [line["request_id"] for line in lines if line.get("event") == "forwarded"]
 
 
 async def test_regions_that_each_believe_in_the_other(rondinella: Fleet, figure: Figure) -> None:
-    # All engines and services refuse, while every region's heartbeats go on telling of servers
-    # with nothing to do, and all work may leave home. Each entry VM passes requests on to where
-    # it believes room; the ones that get them have the same belief of others, and refuse.
+    # All engines and services refuse, while every region's heartbeats report idle servers and all
+    # work may leave its home region. Each entry VM forwards requests to regions that seem to have
+    # capacity. The VMs that receive them see the same of other regions, but must refuse.
     fleet = rondinella
     classes = {
         f"classes/{name}": {**fleet.deployment.classes[name], "max_share_outside_home": 1.0}
@@ -253,9 +253,10 @@
 async def test_repeat_ends_at_whoever_is_taken_for_the_issuer(
     rondinella: Fleet, figure: Figure
 ) -> None:
-    # A caller's id was issued by a daemon that has been replaced. Its repeat at another entry VM
-    # is passed to the one of that name, and peers that take other VMs for the issuer send it
-    # there. Each says that it can't know, none asks a third, and nothing runs.
+    # A caller's request id was issued by a daemon that has been replaced. A repeat at another entry
+    # VM is forwarded to the VM of that name, and peers with a wrong view forward it to VMs that did
+    # not issue it. Each must answer that the outcome is unknown, forward to no other VM, and run
+    # nothing.
     fleet, account = rondinella, "paying-milan"
     request_id, *_ = await request_ids(fleet, fleet.direct("milan-1"), account, "webhook-ping")
     await restart(fleet, "milan-1")
--- a/tests/test_proof_configuration.py
+++ b/tests/test_proof_configuration.py
@@ -46,8 +46,8 @@
 
 
 async def test_change_is_soon_in_force_everywhere(rondinella: Fleet, figure: Figure) -> None:
-    # Operators publish one change after the other; each is in force on every VM before the
-    # next. The calls of the platform are counted while that goes on and while nothing does.
+    # Operators publish changes one after the other, each once the previous one is in force on every
+    # VM. Calls to the platform are counted during the changes and while idle.
     before, started_s = await reads(rondinella), time.monotonic()
     spreads_s = []
     for number in range(CHANGES):
@@ -71,9 +71,9 @@
 async def test_platform_fault_never_reverts_it(
     rondinella: Fleet, figure: Figure, mode: str
 ) -> None:
-    # The platform goes down, shows an old revision or loses the newer ones. VMs replaced in
-    # that time start with nothing: they must take what their peers hold before they serve,
-    # else their callers meet limits and classes that were changed long ago.
+    # The platform is down, serves an old revision or loses the newer ones. VMs replaced meanwhile
+    # start without a configuration and must get it from their peers before they serve. Otherwise
+    # they would apply outdated limits and classes.
     accepted = 0
     for number in range(4):
         accepted = await publish_draft(rondinella, 100.0 + number)
@@ -98,16 +98,17 @@
 async def test_silent_platform_connections_delay_it_by_seconds(
     rondinella: Fleet, figure: Figure
 ) -> None:
-    # Something between the VMs and the platform forgets the connections on which all watches
-    # wait: no byte and no end ever comes on them, while a new connection works.
+    # The connections of all watches are lost on the way between the VMs and the platform: they
+    # deliver neither data nor an end, while new connections work.
     await rondinella.fault("platform/*", "silent")
     revision = await publish_draft(rondinella, 101.0)
     figure("spread s", await wait_in_force(rondinella, revision))
 
 
 async def test_region_without_platform_gets_it_from_peers(figure: Figure) -> None:
-    # One region can't reach the platform, the others can. With three VMs a region not every VM
-    # is a watcher and not every watcher a relay, so the change passes through several hands.
+    # One region can't reach the platform, the others can. With three VMs per region, not every VM
+    # watches the platform and not every watcher relays to other regions, so changes take several
+    # hops.
     async with Fleet(evolve(RONDINELLA, vms_per_region=3)) as fleet:
         await fleet.fault("platform/milan", "cut")
         spreads_s = []
@@ -119,9 +120,9 @@
 
 
 async def test_cut_region_keeps_it_and_catches_up(rondinella: Fleet, figure: Figure) -> None:
-    # Milan can reach neither the platform nor a peer elsewhere, and one of its VMs is replaced:
-    # the new daemon gets the configuration from the one beside it. Changes made meanwhile are
-    # in force in the other regions, and in Milan once it is in reach again.
+    # Milan can reach neither the platform nor peers of other regions, and one of its VMs is
+    # replaced. The new daemon gets the configuration from the other VM in Milan. Changes published
+    # meanwhile come into force in the other regions, and in Milan after the partition ends.
     first = await publish_draft(rondinella, 100.0)
     await wait_in_force(rondinella, first)
     milan = rondinella.in_region("milan")
@@ -142,10 +143,9 @@
 async def test_invalid_revision_is_refused_and_the_last_good_one_stays(
     rondinella: Fleet, figure: Figure
 ) -> None:
-    # An operator publishes a class of a pool that doesn't exist. Every VM refuses the revision
-    # with the reason and goes on with the last good one, and so does a VM that is replaced
-    # while it stands, though the platform no longer shows the good value. A corrected revision
-    # is in force everywhere.
+    # An operator publishes a class whose pool doesn't exist. Every VM must refuse the revision with
+    # a reason and keep the last valid one. So must a VM that is replaced meanwhile, although the
+    # platform no longer serves the valid value. A corrected revision must come into force.
     good = await publish_draft(rondinella, 100.0)
     await wait_in_force(rondinella, good)
     async with revision_log(rondinella) as log:
@@ -177,9 +177,9 @@
 
 
 async def test_racing_operators_end_the_same_everywhere(rondinella: Fleet, figure: Figure) -> None:
-    # Two operators change the same class and each a class of its own at the same time. The
-    # platform puts the revisions in one order; every VM must end with the last of each key,
-    # whichever way and in whatever bundles they reached it.
+    # Two operators change the same class, and each a class of its own, at the same time. The
+    # platform orders the revisions; every VM must end with the last value of each key, however
+    # the changes were routed and batched.
     async def operate(name: str) -> list[int]:
         own = {f"classes/of-{name}": RONDINELLA.classes["status-check"]}
         return [
--- a/tests/test_proof_crashing_request.py
+++ b/tests/test_proof_crashing_request.py
@@ -1,4 +1,4 @@
-"""Prove with real daemons that a request that ends servers reaches no fourth one."""
+"""Prove with real daemons that a request that crashes servers reaches no fourth one."""
 
 import time
 from random import Random
@@ -10,7 +10,7 @@
 from harness.fleet import HOST, Fleet
 from soak.__main__ import wait_ready
 from soak.fleet import SoakFleet
-from soak.fragile import CRASHES_TO_KNOW, FragileServers
+from soak.fragile import CRASHES_TO_BLOCK, FragileServers
 
 pytestmark = pytest.mark.proof
 
@@ -21,21 +21,21 @@
 
 
 async def test_crashing_request_ends_three_servers_of_two_regions_at_most() -> None:
-    """It is sent to four daemons of two regions in turn; each saw some of the servers end."""
+    """Four daemons in two regions get the request, and each observes only some of the crashes."""
     async with SoakFleet(random=Random(1)) as fleet:
         await wait_ready(fleet)
         fragile = FragileServers(fleet=fleet, random=Random(2))
         await fragile.start()
         await fragile.send_until(time.monotonic() + SENDING_S)
         await fragile.stop()
-    assert (len(fragile.ends_s), fragile.broken_promises()) == (CRASHES_TO_KNOW, [])
+    assert (len(fragile.crashes_s), fragile.find_violations()) == (CRASHES_TO_BLOCK, [])
     assert fragile.served_share(time.monotonic() - SENDING_S / 2) > 0.8
 
 
 async def test_crashing_chat_request_ends_engines_three_times_at_most(
     rondinella: Fleet, record_property: Figure
 ) -> None:
-    """Callers repeat it at every entry VM, byte for byte; engines come back under their names."""
+    """Callers send identical requests to every entry VM; engines restart under the same names."""
     fleet = rondinella
     engines = [name for name, plan in fleet.servers.items() if plan.pool.name == POOL]
     await _reach_engines_directly(fleet, engines)
@@ -46,7 +46,7 @@
         reply = await chat(fleet, fleet.direct(vm), "paying-milan", CLASS, body, **deadline)
         ended += await _start_ended(fleet, engines)
     record_property("times that an engine ended", str(ended))
-    assert ended == CRASHES_TO_KNOW
+    assert ended == CRASHES_TO_BLOCK
     assert reply is not None
     assert reply.problem is not None
     assert (reply.problem["kind"], reply.problem["run"]) == ("crashes_servers", "no")
@@ -54,7 +54,7 @@
 
 
 async def _start_ended(fleet: Fleet, engines: list[str]) -> int:
-    """Start the engines that have ended, and return how many that were."""
+    """Restart the engines that have exited and return their number."""
     ended = [name for name in engines if fleet.processes.running[name].poll() is not None]
     for name in ended:
         fleet.start_server(name)
@@ -68,7 +68,7 @@
 
 
 async def _reach_engines_directly(fleet: Fleet, engines: list[str]) -> None:
-    """List engines without the proxy, which would accept connections for one that has ended."""
+    """List engines without the proxy, which would accept connections for a crashed engine."""
     changes = {
         f"vms/{name}": fleet.server_value(name) | {"address": f"{HOST}:{fleet.servers[name].port}"}
         for name in engines
--- a/tests/test_proof_home.py
+++ b/tests/test_proof_home.py
@@ -21,7 +21,7 @@
 
 
 async def review(fleet: Fleet, vm: str, deadline_s: float = LONG_S, **headers: str) -> Reply:
-    """Ask for a review whose home is Tallinn at any entry VM."""
+    """Request a review with home region Tallinn at an entry VM."""
     headers |= {"Pomelobarrow-Deadline": str(time.time() + deadline_s)}
     address = fleet.direct(vm)
     return await chat(fleet, address, ACCOUNT, REVIEW, chat_body(MODEL), **headers)
@@ -32,7 +32,7 @@
 
 
 def unanswered(replies: list[Reply]) -> list[Reply]:
-    """Return the replies that are no whole right answers, for a failure's report."""
+    """Return the replies that are not complete, correct answers."""
     return [reply for reply in replies if not reply.is_answered]
 
 
@@ -44,8 +44,8 @@
     return {run["region"] for run in await fleet.runs() if run["marker"]}
 
 
-def is_honest_refusal(reply: Reply) -> bool:
-    """Tell whether the caller learns that nothing ran and when to come back."""
+def is_complete_refusal(reply: Reply) -> bool:
+    """Return whether a refusal says that nothing ran, when to retry and what to do."""
     return reply.run == "no" and "Retry-After" in reply.headers and bool(reply.problem["remedy"])
 
 
@@ -55,12 +55,14 @@
 
 
 async def test_wrong_entry_passes_it_home_or_refuses(vasktoru: Fleet, figure: Figure) -> None:
-    # Callers ask entry VMs of every region. In reach, home runs the work. Once home is cut off,
-    # the others have idle engines and refuse all the same: nothing ran, come back then, while
-    # home's own callers are served. Healed, home runs it again.
+    # Callers send home-bound work to entry VMs of every region, and it runs in its home region.
+    # When the home region is cut off, the others must refuse the work despite idle engines, with a
+    # time to retry, while the home region serves its own callers. After healing, all of it runs
+    # again.
     #
-    # A VM says that it is ready to its platform at once and to other regions a trip later. Asked in
-    # between, they still hold both of home's VMs for starting and refuse, unrun, as they should.
+    # A VM is ready for its platform one network delay before other regions receive that update.
+    # Until then, they see both VMs of the home region as starting and rightly refuse, so the test
+    # waits until all views agree.
     await wait_converged(vasktoru)
     assert unanswered(await review_everywhere(vasktoru)) == []
     await cut_region(vasktoru, HOME)
@@ -69,7 +71,7 @@
     started_s = time.monotonic()
     refused = [await review(vasktoru, vm) for vm in outside(vasktoru)]
     figure("refusal took s", (time.monotonic() - started_s) / len(refused))
-    assert [reply for reply in refused if not is_honest_refusal(reply)] == []
+    assert [reply for reply in refused if not is_complete_refusal(reply)] == []
     assert {reply.problem["kind"] for reply in refused} == {"home_unreachable"}
     assert all([(await review(vasktoru, vm)).is_answered for vm in vasktoru.in_region(HOME)])
     await heal(vasktoru)
@@ -81,8 +83,8 @@
 async def test_work_sent_while_home_is_being_cut_runs_nowhere_else(
     vasktoru: Fleet, figure: Figure
 ) -> None:
-    # The cut comes while requests are on their way, and heals while callers still wait. Some
-    # are answered late, some refused; no other region runs one of them.
+    # The partition begins while requests are in transit and ends while callers still wait. Requests
+    # may be answered late or refused, but no other region may run them.
     asking = [
         asyncio.create_task(review(vasktoru, vm, deadline_s=12.0))
         for vm in vasktoru.entries
@@ -103,9 +105,9 @@
 
 @pytest.mark.parametrize("loss", ["killed", "refusing"])
 async def test_home_without_capacity_keeps_it(vasktoru: Fleet, figure: Figure, loss: str) -> None:
-    # All engines of the home region are gone or refuse, the other regions' are idle. Callers get
-    # a refusal by their deadline that says that nothing ran, or that it is unknown where the
-    # connection broke after the request was sent; no other region runs the work.
+    # All engines of the home region have exited or refuse, while those of other regions are idle.
+    # Callers must get a refusal by their deadline. It says that nothing ran, or that the outcome is
+    # unknown if the connection broke after the request was sent. No other region may run the work.
     engines = [
         server for name, server in vasktoru.servers.items() if name.startswith(f"contracts-{HOME}")
     ]
@@ -117,8 +119,8 @@
     started_s = time.monotonic()
     replies = await review_everywhere(vasktoru, deadline_s=4.0)
     figure("longest until refused s", time.monotonic() - started_s)
-    honest = {"killed": {"no", "unknown"}, "refusing": {"no"}}
-    assert {reply.run for reply in replies} <= honest[loss]
+    allowed_runs = {"killed": {"no", "unknown"}, "refusing": {"no"}}
+    assert {reply.run for reply in replies} <= allowed_runs[loss]
     for server in engines:
         if loss == "killed":
             vasktoru.start_server(server.name)
@@ -129,9 +131,10 @@
 
 
 async def test_class_bound_while_a_region_is_cut_off(vasktoru: Fleet, figure: Figure) -> None:
-    # Quick queries become home-bound while Warsaw reaches neither the platform nor a peer. From
-    # the moment the change is in force on a VM it neither sends such work out nor takes it in;
-    # Warsaw learns of it when healed, its replaced VM before it serves at all.
+    # Quick queries become home-bound while Warsaw can reach neither the platform nor its peers.
+    # Once the change is in force on a VM, it neither forwards such work to other regions nor
+    # accepts it from them. Warsaw receives the change after healing, and its replaced VM before it
+    # serves.
     bound = {**vasktoru.deployment.classes["quick-query"], "home_bound": True}
     del bound["max_share_outside_home"]
     await cut_region(vasktoru, "warsaw")
@@ -166,9 +169,9 @@
 
 
 async def test_peer_with_another_view_is_refused(vasktoru: Fleet) -> None:
-    # A peer with an old configuration or a wrong view sends Warsaw work whose home is Tallinn:
-    # as unbound, as bound where Warsaw doesn't know it, and with a home that isn't the account's.
-    # Each is refused, and not one engine sees it.
+    # A peer with an outdated configuration or wrong view forwards work with home region Tallinn to
+    # Warsaw: as not home-bound, as home-bound although Warsaw's configuration says otherwise, and
+    # with a home region that isn't the account's. Each must be refused and reach no engine.
     chat_fields = {
         "account": ACCOUNT,
         "method": "POST",
@@ -191,9 +194,9 @@
 
 
 async def test_issued_id_of_another_region_stays_out(vasktoru: Fleet) -> None:
-    # The caller takes a request id in Warsaw and sends the review to Tallinn with it. Only the
-    # issuer could say whether the id was used, and it may not run the work: the caller is told
-    # that it did not run.
+    # A caller gets a request id in Warsaw and sends a review with it to Tallinn. Only the issuer
+    # knows whether the id was used, but it may not run the work. The caller must get a refusal that
+    # says that nothing ran.
     request_id, *_ = await request_ids(vasktoru, vasktoru.direct("warsaw-1"), ACCOUNT, REVIEW)
     reply = await review(vasktoru, "tallinn-1", Idempotency_Key=request_id)
     assert reply.run == "no"
--- a/tests/test_proof_hostile_input.py
+++ b/tests/test_proof_hostile_input.py
@@ -1,4 +1,4 @@
-"""Hostile input is refused, reaches no backend server and leaves others' work untouched."""
+"""Hostile input is refused, reaches no backend server and does not affect other callers."""
 
 import asyncio
 import gzip
@@ -26,7 +26,7 @@
 
 @frozen(kw_only=True)
 class Raw:
-    """Hold one request as it goes over the wire."""
+    """Raw HTTP request."""
 
     line: str = "POST /v1/chat/completions HTTP/1.1"
     body: bytes = b"{}"
@@ -50,16 +50,16 @@
         return b"\r\n".join([self.line.encode("latin-1"), *lines, b"", self.body])
 
 
-def good_body(**more: object) -> bytes:
-    """Return a body that would run if it were let through."""
+def valid_body(**more: object) -> bytes:
+    """Return a body that would run if it were accepted."""
     content = [{"role": "user", "content": SECRET_TEXT}]
     body = {"model": "note-small", "messages": content, "metadata": {"marker": MARKER}}
     return json.dumps(body | more).encode()
 
 
-def good(**headers: str | bytes) -> Raw:
-    """Return a request that is good but for these headers."""
-    return Raw(body=good_body(), headers=headers)
+def valid(**headers: str | bytes) -> Raw:
+    """Return a request that is valid except for these headers."""
+    return Raw(body=valid_body(), headers=headers)
 
 
 def service(path: str, **headers: str | bytes) -> Raw:
@@ -72,29 +72,29 @@
 DEADLINE = "Pomelobarrow-Deadline"
 HOSTILE: dict[str, Raw] = {
     "no JSON": Raw(body=f"{{{SECRET_TEXT}".encode()),
-    "bad UTF-8": Raw(body=good_body().replace(b"cathode", b"\xff\xfe")),
+    "bad UTF-8": Raw(body=valid_body().replace(b"cathode", b"\xff\xfe")),
     "deep nesting": Raw(body=b'{"a":' + b"[" * MB + b"]" * MB + b"}"),
-    "lone surrogate": Raw(body=good_body().replace(b"cathode", b"\\ud800")),
+    "lone surrogate": Raw(body=valid_body().replace(b"cathode", b"\\ud800")),
     "not an object": Raw(body=b"[1]"),
-    "wrong type of messages": Raw(body=good_body(messages={"role": "user"})),
-    "wrong type of content": Raw(body=good_body(messages=[{"role": "user", "content": 1}])),
-    "wrong type of stream": Raw(body=good_body(stream="yes")),
-    "negative count": Raw(body=good_body(max_tokens=-1)),
-    "fractional count": Raw(body=good_body(max_tokens=1e300)),
-    "too many messages": Raw(body=good_body(messages=[{"role": "u", "content": ""}] * 100_000)),
-    "unknown model": Raw(body=good_body(model="none")),
-    "unknown class": good(**{"Pomelobarrow-Class": "x" * 9000}),
-    "unknown token": good(Authorization=f"Bearer {SECRET_TEXT}"),
-    "no token": good(Authorization=""),
-    "other scheme": good(Authorization=f"Basic {token_of('paying-milan')}"),
-    "deadline not a number": good(**{DEADLINE: "nan"}),
-    "deadline infinite": good(**{DEADLINE: "inf"}),
-    "deadline negative": good(**{DEADLINE: "-1"}),
-    "deadline huge": good(**{DEADLINE: "1e400"}),
-    "deadline in words": good(**{DEADLINE: "tomorrow"}),
-    "unknown home": good(**{"Pomelobarrow-Home-Region": "atlantis"}),
-    "oversized header": good(**{"X-Large": "x" * 20_000}),
-    "many headers": good(**{f"X-{number}": "x" for number in range(5000)}),
+    "wrong type of messages": Raw(body=valid_body(messages={"role": "user"})),
+    "wrong type of content": Raw(body=valid_body(messages=[{"role": "user", "content": 1}])),
+    "wrong type of stream": Raw(body=valid_body(stream="yes")),
+    "negative count": Raw(body=valid_body(max_tokens=-1)),
+    "fractional count": Raw(body=valid_body(max_tokens=1e300)),
+    "too many messages": Raw(body=valid_body(messages=[{"role": "u", "content": ""}] * 100_000)),
+    "unknown model": Raw(body=valid_body(model="none")),
+    "unknown class": valid(**{"Pomelobarrow-Class": "x" * 9000}),
+    "unknown token": valid(Authorization=f"Bearer {SECRET_TEXT}"),
+    "no token": valid(Authorization=""),
+    "other scheme": valid(Authorization=f"Basic {token_of('paying-milan')}"),
+    "deadline not a number": valid(**{DEADLINE: "nan"}),
+    "deadline infinite": valid(**{DEADLINE: "inf"}),
+    "deadline negative": valid(**{DEADLINE: "-1"}),
+    "deadline huge": valid(**{DEADLINE: "1e400"}),
+    "deadline in words": valid(**{DEADLINE: "tomorrow"}),
+    "unknown home": valid(**{"Pomelobarrow-Home-Region": "atlantis"}),
+    "oversized header": valid(**{"X-Large": "x" * 20_000}),
+    "many headers": valid(**{f"X-{number}": "x" for number in range(5000)}),
     "oversized body": Raw(body=b"", headers={"Content-Length": str(MAX_BODY_BYTES + 1)}),
     "oversized chunks": Raw(
         body=b"100000\r\n" + b"x" * MB + b"\r\n" + (b"100000\r\n" + b"x" * MB + b"\r\n") * 8,
@@ -103,13 +103,13 @@
     "broken chunks": Raw(
         body=b"zz\r\n", headers={"Content-Length": "", "Transfer-Encoding": "chunked"}
     ),
-    "two lengths": Raw(body=good_body(), headers={"Transfer-Encoding": "chunked"}),
-    "compressed": Raw(body=gzip.compress(good_body()), headers={"Content-Encoding": "gzip"}),
+    "two lengths": Raw(body=valid_body(), headers={"Transfer-Encoding": "chunked"}),
+    "compressed": Raw(body=gzip.compress(valid_body()), headers={"Content-Encoding": "gzip"}),
     "gzip bomb": Raw(body=gzip.compress(bytes(200 * MB)), headers={"Content-Encoding": "gzip"}),
-    "line break in a header": good(**{"X-Split": b"a\rX-Request-Id: forged"}),
-    "NUL in a header": good(**{"X-Nul": b"a\x00b"}),
+    "line break in a header": valid(**{"X-Split": b"a\rX-Request-Id: forged"}),
+    "NUL in a header": valid(**{"X-Nul": b"a\x00b"}),
     "header not UTF-8": service("/ping", **{"X-Bytes": b"\xff\xfe"}),
-    "class not UTF-8": good(**{"Pomelobarrow-Class": b"\xff"}),
+    "class not UTF-8": valid(**{"Pomelobarrow-Class": b"\xff"}),
     "path not ASCII": service("/\xff"),
     "made-up key": service("/ping", **{KEY: "order-17"}),
     "forged key": service("/ping", **{KEY: "r1.bWlsYW4tMQ.1.ffffffff.1.AAAA"}),
@@ -118,12 +118,12 @@
     "class of another pool": service("/ping", **{"Pomelobarrow-Class": "draft"}),
     "no HTTP": Raw(line="\x16\x03\x01 hello"),
 }
-# An id that names no VM known here was perhaps issued by one that is gone: the honest answer.
+# An id of an unknown VM may have been issued by a VM that was removed, so its outcome is unknown.
 OUTCOME_UNKNOWN = {"forged key"}
 
 
 async def exchange(fleet: Fleet, data: bytes) -> bytes:
-    """Send bytes to an entry VM and return all that comes back."""
+    """Send bytes to an entry VM and return everything received until the connection ends."""
     reader, writer = await asyncio.open_connection(HOST, fleet.entries[VM].caller_port)
     try:
         writer.write(data)
@@ -137,13 +137,13 @@
 
 
 @asynccontextmanager
-async def others(fleet: Fleet) -> AsyncIterator[list[Reply]]:
-    """Keep other callers of the same entry VM busy; all of their answers must come whole."""
+async def other_callers(fleet: Fleet) -> AsyncIterator[list[Reply]]:
+    """Run other callers of the same entry VM, whose answers must all be complete."""
     replies: list[Reply] = []
-    going = True
+    is_running = True
 
     async def keep_sending(account: str) -> None:
-        while going:
+        while is_running:
             body = chat_body("note-small", 16)
             replies.append(await chat(fleet, fleet.direct(VM), account, "changelog-note", body))
 
@@ -151,15 +151,15 @@
     try:
         yield replies
     finally:
-        going = False
+        is_running = False
         await asyncio.gather(*tasks)
 
 
-def assert_nothing_told(fleet: Fleet) -> None:
+def assert_nothing_leaked(fleet: Fleet) -> None:
     """Check that no daemon logged a body, a token or the peers' key."""
     logs = "".join(fleet.processes.log(vm) for vm in fleet.entries)
-    told = [text for text in (SECRET_TEXT, "token-of-", "a-shared-secret") if text in logs]
-    assert told == []
+    leaked = [text for text in (SECRET_TEXT, "token-of-", "a-shared-secret") if text in logs]
+    assert leaked == []
     assert "Traceback" not in logs
 
 
@@ -167,11 +167,11 @@
 async def test_hostile_requests_are_refused_and_reach_no_server(
     rondinella: Fleet, figure: Figure
 ) -> None:
-    # One caller sends requests made to break the gateway: each gets a 4xx that names a remedy,
-    # or that says HTTP itself was broken. None of them reaches a backend server, the other
-    # callers of the same VM get every answer whole, and the logs hold nothing of what was sent.
+    # One caller sends malformed and malicious requests. Each must get a 4xx with a remedy, or a
+    # plain one if it violates HTTP. None may reach a backend server, other callers of the same VM
+    # must get complete answers, and the logs must not contain what was sent.
     fleet, wrong = rondinella, {}
-    async with others(fleet) as replies:
+    async with other_callers(fleet) as replies:
         for name, raw in HOSTILE.items():
             answer = await exchange(fleet, raw.encode())
             status = int(answer.split(b" ", 2)[1]) if answer else 0
@@ -189,14 +189,14 @@
     assert wrong == {}
     assert ran == []
     assert all(each.is_answered for each in replies)
-    assert_nothing_told(fleet)
+    assert_nothing_leaked(fleet)
 
 
 @pytest.mark.proof
 async def test_a_caller_can_not_speak_for_the_gateway(rondinella: Fleet, figure: Figure) -> None:
-    # A caller names the request id, attempt and priority that only the gateway may set, a trace
-    # that isn't one, and an absolute URL. The service must see the gateway's own values, or a
-    # forged id would make it take two requests for one.
+    # A caller sends the request id, attempt and priority headers that only the gateway may set, an
+    # invalid trace and an absolute URL. The service must receive the gateway's own values, since
+    # with a forged id it could treat two requests as one.
     fleet = rondinella
     forged = {"X-Request-Id": "forged", "X-Attempt": "9", "X-Priority": "9", "traceparent": "x"}
     named = Raw(
@@ -217,8 +217,9 @@
 async def test_slow_and_idle_connections_leave_others_served(
     rondinella: Fleet, figure: Figure
 ) -> None:
-    # Thousands of connections send nothing, half a header, or a body that never ends. The others
-    # are served meanwhile, memory stays bounded, and the slow body is refused by its deadline.
+    # Thousands of connections send nothing or an incomplete header, and one sends an incomplete
+    # body. Other callers must be served meanwhile, memory must stay bounded, and the slow body must
+    # be refused by its deadline.
     fleet, vm = rondinella, VM
     process = psutil.Process(fleet.processes.running[vm].pid)
     before_bytes = process.memory_info().rss
@@ -229,7 +230,7 @@
         opened.append(writer)
     deadline = {DEADLINE: str(time.time() + 2.0), "Content-Length": "100"}
     slow = asyncio.create_task(exchange(fleet, Raw(body=b"{", headers=deadline).encode()))
-    async with others(fleet) as replies:
+    async with other_callers(fleet) as replies:
         answer = await slow
     grown_bytes = process.memory_info().rss - before_bytes
     for writer in opened:
@@ -242,15 +243,15 @@
     assert b'"run":"no"' in answer
     assert replies
     assert all(each.is_answered for each in replies)
-    assert_nothing_told(fleet)
+    assert_nothing_leaked(fleet)
 
 
 @pytest.mark.proof
 async def test_an_account_never_sees_anothers_request(vasktoru: Fleet, figure: Figure) -> None:
-    # An account learns another's request id and sends it everywhere, while the first request runs
-    # and after it has ended. It must get no byte of the answer and stop nothing; the operators'
-    # pages, which any caller reaches, must not tell of the request either.
-    fleet, owner, thief = vasktoru, "paying-tallinn", "trial-tallinn"
+    # An account uses another account's request id at several entry VMs, while that request runs and
+    # after it has ended. It must get no part of the answer and must not stop the request. The
+    # operators' pages, which any caller can read, must not reveal the request either.
+    fleet, owner, intruder = vasktoru, "paying-tallinn", "trial-tallinn"
     vms = ("tallinn-1", "tallinn-2", "warsaw-1")
     key, *_ = await request_ids(fleet, fleet.direct("tallinn-1"), owner, "quick-query")
     body = chat_body("contract-reader", 200, SECRET_TEXT)
@@ -261,27 +262,29 @@
         headers = {"Idempotency_Key": key}
         return await chat(fleet, address, account, "quick-query", body, begun.set, **headers)
 
-    async def steal() -> list[Reply]:
-        return [await send(vm, thief) for vm in vms]
+    async def send_as_intruder() -> list[Reply]:
+        return [await send(vm, intruder) for vm in vms]
 
     first = asyncio.create_task(send("tallinn-1", owner))
     await begun.wait()
-    stolen = await steal()
+    intruder_replies = await send_as_intruder()
     pages = [await read_pages(fleet, vm) for vm in vms]
     assert (await first).is_answered
-    stolen += await steal()
-    figure("attempts on another's id", len(stolen))
-    figure("answers given away", sum(bool(each.text) for each in stolen))
-    assert {(each.status, each.problem.get("kind")) for each in stolen} == {
+    intruder_replies += await send_as_intruder()
+    figure("attempts on another's id", len(intruder_replies))
+    figure("answers given away", sum(bool(each.text) for each in intruder_replies))
+    assert {(each.status, each.problem.get("kind")) for each in intruder_replies} == {
         (400, "bad_idempotency_key")
     }
-    told = [text for page in pages for text in (SECRET_TEXT, key, token_of(owner)) if text in page]
-    assert told == []
-    assert_nothing_told(fleet)
+    leaked = [
+        text for page in pages for text in (SECRET_TEXT, key, token_of(owner)) if text in page
+    ]
+    assert leaked == []
+    assert_nothing_leaked(fleet)
 
 
 async def read_pages(fleet: Fleet, vm: str) -> str:
-    """Return what the operators' pages tell anyone."""
+    """Return the operators' pages, read without credentials."""
     assert fleet.session is not None
     texts = []
     for path in ("/v1/status", "/v1/explain?class=quick-query&account=nobody", "/metrics"):
--- a/tests/test_proof_isolation.py
+++ b/tests/test_proof_isolation.py
@@ -1,4 +1,4 @@
-"""Prove that a region that is cut off keeps serving its own callers and comes back in step."""
+"""Prove that a partitioned region keeps serving its own callers and converges afterwards."""
 
 import asyncio
 import time
@@ -34,8 +34,8 @@
 SERVED_OUTSIDE = 12
 RETURNED = 240
 RETURN_PAUSE_S = 0.05
-# The early part of a slow start of 20 s. A quarter of the requests took 8 s and more on a busy
-# machine, so that their share at home came near a half by the passing of time alone.
+# Early part of a slow start of 20 s. The first quarter of the requests would be too long a span: it
+# takes 8 s or more on a busy machine, so that the share at home comes near a half.
 EARLY_S = 4.0
 
 
@@ -49,7 +49,7 @@
 
 @define
 class Traffic:
-    """Hold what a region's own callers got, of every class at every VM."""
+    """Replies to callers that keep sending requests of every class to VMs of their region."""
 
     replies: list[Reply] = field(factory=list)
 
@@ -74,7 +74,7 @@
 
 @asynccontextmanager
 async def traffic(fleet: Fleet, *vms: str) -> AsyncIterator[Traffic]:
-    """Keep asking at these entry VMs for as long as the block runs."""
+    """Send requests to these entry VMs until the block exits."""
     held = Traffic()
     tasks = [asyncio.create_task(held.ask_at(fleet, vm)) for vm in vms]
     try:
@@ -104,10 +104,10 @@
 async def test_cut_region_serves_its_own_callers(
     rondinella: Fleet, figure: Figure, cut: Cut, has_platform: bool
 ) -> None:
-    # Callers in Milan and in Turin ask on while Milan's links to the other regions are cut, both
-    # ways, only outwards or only inwards, with and without the platform. Nobody notices: each is
-    # answered in its own region. A daemon started in Milan meanwhile serves too, on what the VM
-    # beside it holds. After healing all views agree again.
+    # Callers in Milan and Turin keep sending requests while Milan's links to the other regions are
+    # cut in both directions, only outgoing or only incoming, with and without the platform. Each
+    # request must be answered in its own region. A daemon started in Milan meanwhile must serve
+    # too, with the state of the other VM there. After healing, all views must agree.
     fleet = rondinella
     turin, (milan, replaced) = fleet.in_region("turin"), fleet.in_region(CUT)
     async with traffic(fleet, milan) as own, traffic(fleet, *turin) as others:
@@ -134,9 +134,10 @@
 
 
 async def test_region_cut_while_the_platform_is_stale(rondinella: Fleet, figure: Figure) -> None:
-    # Two faults at once: Milan is cut off from its peers while the platform, still in its reach,
-    # shows an old revision. Milan goes on with the one that it had accepted, also on a VM that
-    # is replaced, and serves its callers; once healed, all follow the next change.
+    # Two faults at once: Milan is cut off from its peers while the platform, which it still
+    # reaches, serves an old revision. Milan must keep the revision that it had accepted, also on a
+    # replaced VM, and serve its callers. After healing, the next change must come into force
+    # everywhere.
     fleet = rondinella
     accepted = 0
     for target_s in (100.0, 101.0):
@@ -163,16 +164,16 @@
 async def test_work_returns_slowly_to_a_region_that_was_lost(
     rondinella: Fleet, figure: Figure
 ) -> None:
-    # Callers at a VM in Turin have work whose home is Milan. While Milan is lost it is served
-    # elsewhere. When Milan is back its caches are cold: were all work to return at once, each
-    # prompt would be computed anew at the same time and all would be late. It returns in a
-    # growing share instead.
+    # Callers at a VM in Turin send work with home region Milan. While Milan is lost, other regions
+    # serve it. When Milan is back, its prompt caches are cold: if all work returned at once, all
+    # prompts would be computed again at the same time and all answers would be late. The share that
+    # returns must grow slowly instead.
     fleet = rondinella
     everywhere = {**fleet.deployment.classes["changelog-note"], "max_share_outside_home": 1.0}
     revision = await fleet.publish("config", {"classes/changelog-note": everywhere})
     await wait_in_force(fleet, revision)
     await cut_region(fleet, CUT)
-    # A shorter silence counts as none, so the cut has to last.
+    # The slow start applies only after a long silence, so the partition must last.
     cut_s = time.monotonic()
     await wait_until(lambda: _has_lasted(cut_s, LOST_AFTER_S + MAX_LOAD_AGE_S))
     outside = [
@@ -180,7 +181,7 @@
     ]
     assert CUT not in await _regions_of(fleet, outside)
     await heal(fleet)
-    await wait_until(lambda: _has_come_home(fleet))
+    await wait_until(lambda: _is_served_at_home(fleet))
     returned, asked_s, home_s = [], [], time.monotonic()
     for _ in range(RETURNED):
         asked_s.append(time.monotonic() - home_s)
@@ -199,7 +200,7 @@
     return time.monotonic() - since_s > duration_s
 
 
-async def _has_come_home(fleet: Fleet) -> bool:
+async def _is_served_at_home(fleet: Fleet) -> bool:
     reply = await ask(fleet, "turin-1", ACCOUNT, "changelog-note")
     return CUT in await _regions_of(fleet, [reply])
 
--- a/tests/test_proof_leaving.py
+++ b/tests/test_proof_leaving.py
@@ -1,4 +1,4 @@
-"""Point 7: a backend server that is leaving gets no new work after a few seconds."""
+"""Prove guarantee 7: a backend server that is leaving gets no new work after a few seconds."""
 
 import asyncio
 import json
@@ -13,45 +13,45 @@
 
 from harness.fleet import HOST, Fleet
 
-LEAVER = "drafting-milan-1"
+LEAVING_SERVER = "drafting-milan-1"
 CALLERS_PER_VM = 2
 LONG_TOKENS = 800
 USUAL_RUNS = 50
-# So many requests after the last one that the leaver got show that no more are on the way.
+# No attempt on the leaving server during this many requests shows that none will follow.
 QUIET_REQUESTS = 400
 
 
 async def leave_by_list(fleet: Fleet) -> None:
-    """Let the platform list the server as leaving; it takes what still comes."""
-    value = fleet.server_value(LEAVER, "leaving")
-    await fleet.publish("vms", {f"vms/{LEAVER}": value})
+    """List the server as leaving at the platform; it still accepts requests."""
+    value = fleet.server_value(LEAVING_SERVER, "leaving")
+    await fleet.publish("vms", {f"vms/{LEAVING_SERVER}": value})
 
 
 async def leave_by_late_list(fleet: Fleet) -> None:
-    """Let the platform's list be slow, and out of the reach of the server's own region."""
+    """List the server as leaving at a slow platform that its own region can't reach."""
     await fleet.fault("platform/milan", "cut")
     await fleet.platform_mode("slow", delay_s=1.0)
     await leave_by_list(fleet)
 
 
 async def leave_by_report(fleet: Fleet) -> None:
-    """Let the server say that it leaves, in a lagging report, and refuse new work."""
+    """Let the server report, with a delay, that it is leaving, and refuse new work."""
     await _set_mode(fleet, leaving=True)
 
 
 async def leave_with_platform_down(fleet: Fleet) -> None:
-    """Let only the server itself say it."""
+    """Let the server report that it is leaving while the platform is down."""
     await fleet.platform_mode("down")
     await _set_mode(fleet, leaving=True)
 
 
 async def leave_by_refusing(fleet: Fleet) -> None:
-    """Let the server do no more than refuse."""
+    """Let the server refuse new work without a report or list entry."""
     await _set_mode(fleet, refuse=True)
 
 
 async def _set_mode(fleet: Fleet, **mode: bool) -> None:
-    await fleet.post(f"{HOST}:{fleet.servers[LEAVER].port}", "/admin/mode", mode)
+    await fleet.post(f"{HOST}:{fleet.servers[LEAVING_SERVER].port}", "/admin/mode", mode)
 
 
 WAYS: dict[str, Callable[[Fleet], Awaitable[None]]] = {
@@ -65,16 +65,18 @@
 
 @frozen
 class Attempt:
-    """Hold when one attempt on the leaver ended."""
+    """End of one attempt on the leaving server."""
 
     ended_unix_s: float
     state: str
 
 
-def attempts_on_leaver(fleet: Fleet) -> list[Attempt]:
-    """Return the attempts that the daemons logged."""
+def attempts_on_leaving_server(fleet: Fleet) -> list[Attempt]:
+    """Return the failed attempts that the daemons logged."""
     lines = [line for vm in fleet.entries for line in fleet.processes.log(vm).splitlines()]
-    found = [json.loads(line) for line in lines if LEAVER in line and "attempt failed" in line]
+    found = [
+        json.loads(line) for line in lines if LEAVING_SERVER in line and "attempt failed" in line
+    ]
     return [Attempt(unix_s(each["timestamp"]), each["state"]) for each in found]
 
 
@@ -84,23 +86,23 @@
 
 
 class Load:
-    """Hold callers that keep all entry VMs busy."""
+    """Callers that keep sending requests to entry VMs."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         self.replies: list[Reply] = []
-        self.is_going = True
+        self.is_running = True
 
     async def keep_sending(self, vm: str) -> None:
-        """Send short notes one after the other, at home in the leaver's region."""
-        while self.is_going:
+        """Send short drafts one after the other, with the leaving server's region as home."""
+        while self.is_running:
             body = chat_body("draft-large", 4)
             address = self.fleet.direct(vm)
             self.replies.append(await chat(self.fleet, address, "paying-milan", "draft", body))
 
 
 async def start_long_streams(fleet: Fleet) -> dict[str, asyncio.Task[Reply]]:
-    """Start streams, by marker, until the leaver runs one of them."""
+    """Start streams until the leaving server runs one of them; return them by marker."""
     tasks: dict[str, asyncio.Task[Reply]] = {}
 
     async def is_held() -> bool:
@@ -108,24 +110,24 @@
             body = chat_body("draft-large", LONG_TOKENS)
             sending = chat(fleet, fleet.direct(vm), "paying-milan", "draft", body)
             tasks[body["metadata"]["marker"]] = asyncio.create_task(sending)
-        return bool(await running_on_leaver(fleet) & tasks.keys())
+        return bool(await running_on_leaving_server(fleet) & tasks.keys())
 
     await wait_until(is_held)
     return tasks
 
 
 async def is_in_use(fleet: Fleet) -> bool:
-    """Tell whether the leaver gets its share of the work."""
-    runs = [run for run in await fleet.runs() if run["server"] == LEAVER]
+    """Return whether the leaving server has run its share of the work."""
+    runs = [run for run in await fleet.runs() if run["server"] == LEAVING_SERVER]
     return len(runs) >= USUAL_RUNS
 
 
-async def running_on_leaver(fleet: Fleet) -> set[str]:
-    """Return the markers of the requests that run on the leaver."""
+async def running_on_leaving_server(fleet: Fleet) -> set[str]:
+    """Return the markers of the requests that are running on the leaving server."""
     return {
         run["marker"]
         for run in await fleet.runs()
-        if run["server"] == LEAVER and run["state"] == "running"
+        if run["server"] == LEAVING_SERVER and run["state"] == "running"
     }
 
 
@@ -134,10 +136,10 @@
 async def test_a_leaving_server_soon_gets_no_new_work(
     rondinella: Fleet, way: str, figure: Figure
 ) -> None:
-    # All entry VMs keep sending drafts to a region of two servers and one of them leaves: by the
-    # list that lags, by its own report that lags, or only by refusing. A daemon that goes on with
-    # what it knew sends work to a server about to be gone; one that drops the server at once must
-    # still let the streams that run there end.
+    # All entry VMs keep sending drafts to a region of two servers, one of which leaves: by the list
+    # or by its own report, which both lag, or only by refusing. A daemon that relies on its old
+    # view sends work to a server about to exit. A daemon that drops the server at once must still
+    # let streams that run there finish.
     fleet = rondinella
     load = Load(fleet)
     tasks = [
@@ -147,16 +149,16 @@
     ]
     await wait_until(lambda: is_in_use(fleet))
     long_streams = await start_long_streams(fleet)
-    held = await running_on_leaver(fleet) & long_streams.keys()
+    held = await running_on_leaving_server(fleet) & long_streams.keys()
     left_unix_s = time.time()
     await WAYS[way](fleet)
     await wait_until_quiet(fleet, load)
-    load.is_going = False
+    load.is_running = False
     await asyncio.gather(*tasks)
     finished = await asyncio.gather(*long_streams.values())
     runs = await fleet.runs()
-    started = [run["started_unix_s"] for run in runs if run["server"] == LEAVER]
-    offered = [each for each in attempts_on_leaver(fleet) if each.state == "refused_unrun"]
+    started = [run["started_unix_s"] for run in runs if run["server"] == LEAVING_SERVER]
+    offered = [each for each in attempts_on_leaving_server(fleet) if each.state == "refused_unrun"]
     last_start_s = max(each - left_unix_s for each in started)
     figure("seconds from leaving to the last new run", max(0.0, last_start_s))
     figure("refused attempts", len(offered))
@@ -172,13 +174,13 @@
 
 
 async def wait_until_quiet(fleet: Fleet, load: Load) -> None:
-    """Return once many requests in a row went elsewhere."""
+    """Wait until QUIET_REQUESTS in a row were answered without an attempt on the leaving server."""
     seen, counted = -1, 0
 
     async def is_quiet() -> bool:
         nonlocal seen, counted
-        runs = [run for run in await fleet.runs() if run["server"] == LEAVER]
-        attempts = len(runs) + len(attempts_on_leaver(fleet))
+        runs = [run for run in await fleet.runs() if run["server"] == LEAVING_SERVER]
+        attempts = len(runs) + len(attempts_on_leaving_server(fleet))
         if attempts != seen:
             seen, counted = attempts, len(load.replies)
         return len(load.replies) >= counted + QUIET_REQUESTS
--- a/tests/test_proof_lost_links.py
+++ b/tests/test_proof_lost_links.py
@@ -1,4 +1,4 @@
-"""Point 4: each request is answered, also while links between entry VMs keep breaking."""
+"""Prove guarantee 4: each request is answered while links between entry VMs keep breaking."""
 
 import asyncio
 from random import Random
@@ -10,14 +10,14 @@
 from harness.fleet import Fleet
 
 REQUESTS = 500
-# More than the home region has slots, so that forwards wait there while their links break.
+# More callers than slots in the home region, so that forwards wait there while their links break.
 CALLERS_PER_VM = 9
 REPLIES_PER_BREAK = 8
 TOKENS = (4, 40, 400)
 
 
 class Load:
-    """Hold callers of all entry VMs, whose work is bound to one region, and break links beside."""
+    """Callers of all entry VMs with work bound to one region, who also break links at random."""
 
     def __init__(self, fleet: Fleet, rng: Random) -> None:
         self.fleet, self.rng = fleet, rng
@@ -27,7 +27,7 @@
         self._links = [f"peer/{region}/{vm}" for region in regions for vm in fleet.entries]
 
     async def keep_sending(self, vm: str) -> None:
-        """Send one request after the other until there are enough."""
+        """Send one request after the other until REQUESTS have been answered."""
         while len(self.replies) < REQUESTS:
             body = chat_body("draft-large", self.rng.choice(TOKENS))
             address = self.fleet.direct(vm)
@@ -46,9 +46,9 @@
 async def test_each_request_is_answered_while_links_keep_breaking(
     rondinella: Fleet, figure: Figure
 ) -> None:
-    # A caller waits for minutes. The link over which its request was passed on breaks while it
-    # waits for a server; the engine is told to cancel, and refuses what comes again under the
-    # same id; once every server has refused it, the request waits for one that hasn't.
+    # A caller waited for minutes. The link over which its request was forwarded broke while the
+    # request waited for a server. The engine was sent a cancellation and refused the retry under
+    # the same id. Once every server had refused it, the request waited for one that had not.
     load = Load(rondinella, Random(2))
     vms = [vm for vm in rondinella.entries for _ in range(CALLERS_PER_VM)]
     await asyncio.gather(*(load.keep_sending(vm) for vm in vms))
--- a/tests/test_proof_not_run.py
+++ b/tests/test_proof_not_run.py
@@ -1,4 +1,4 @@
-"""Prove that "not run" is true: point 5 of what must always hold."""
+"""Prove guarantee 5: a request reported as "not run" has not run and never will."""
 
 import asyncio
 from collections import Counter
@@ -32,7 +32,7 @@
 pytestmark = [pytest.mark.proof, pytest.mark.asyncio(loop_scope="module")]
 
 ASKS = (QUERY, WHOLE_QUERY, DESK_CALL, REVIEW)
-# What happens to a connection, at each step of the way.
+# Connection faults at each step of a request.
 STEPS: dict[str, dict[str, Any]] = {
     "refused before connect": {"mode": "refuse"},
     "silent after connect": {"mode": "cut"},
@@ -49,7 +49,7 @@
 }
 ENGINES = ("contracts-rotterdam-1", "contracts-rotterdam-2", "contracts-rotterdam-3")
 PEERS = ("rotterdam-1", "rotterdam-2")
-# The three links have faults at the same time, each met by requests through an entry VM of its own.
+# The three links fail at the same time, each used by requests through a different entry VM.
 LINKS = {
     "caller to daemon": ("caller/tallinn-1", "tallinn-1", "paying-tallinn"),
     "daemon to server": ("server/warsaw/*", "warsaw-1", "paying-warsaw"),
@@ -81,7 +81,7 @@
 async def ask_until_run(
     fleet: Fleet, session: aiohttp.ClientSession, log: RunLog, way: tuple[str, str], asks: Any
 ) -> list["asyncio.Task[Reply]"]:
-    """Send requests and return once each of them runs or has got its reply."""
+    """Send requests and return once each of them has started to run or been answered."""
     before = (await log.starts()).total()
     asking = [asyncio.create_task(ask.send(fleet, session, *way)) for ask in asks]
 
@@ -110,8 +110,7 @@
     """A connection fails at one step: to an entry VM, to a backend server, to a peer.
 
     The caller gets an answer, "not run" or "unknown". Bytes handed to the transport may arrive
-    although every later sign of the connection is lost, so "not run" after that must come from
-    the receiver itself.
+    even if the connection then fails, so after that only the receiver can report "not run".
     """
     log = RunLog(fleet)
     ways = [(vm, account) for _, vm, account in LINKS.values()]
@@ -152,10 +151,10 @@
 async def test_not_run_is_true_when_a_process_freezes_past_the_deadline(
     fleet: Fleet, session: aiohttp.ClientSession, frozen: str, figure: Figure
 ) -> None:
-    """Engines, or the peers asked, stop in their tracks with requests in their sockets.
+    """Engines or peers freeze with requests in their socket buffers.
 
-    The entry VM answers its caller at the deadline. Later they wake and read those requests, and
-    an engine knows no deadline: "not run" would be made untrue then.
+    The entry VM answers its caller at the deadline. The frozen processes resume later and read the
+    requests; engines have no deadline and run them, so "not run" would become false.
     """
     freeze, thaw = FREEZES[frozen]
     log = RunLog(fleet)
@@ -172,10 +171,10 @@
 async def test_not_run_is_true_when_an_engine_restarts_unheard(
     fleet: Fleet, session: aiohttp.ClientSession, figure: Figure
 ) -> None:
-    """An engine runs a query, its answer is held up on the way, and it is killed and restarted.
+    """An engine runs a query, its answer is delayed, and it is killed and restarted.
 
-    Asked to cancel, the new process says "not run" in good faith: it never saw that id. Only a
-    process that was there when the query was sent can vouch for it.
+    The new process answers a cancellation with "not run", because it has no record of the id. Only
+    the process that was running when the query was sent can report that reliably.
     """
     log = RunLog(fleet)
     way, asks = ("rotterdam-1", "paying-rotterdam"), (evolve(QUERY, tokens=200, deadline_s=4.0),)
@@ -194,8 +193,8 @@
 ) -> None:
     """Peers run forwarded requests and are killed and restarted while the answers come.
 
-    The new process answers the entry VM's question under the old one's name, and knows nothing of
-    what that one ran.
+    The new process answers the entry VM's cancellation under the same name, but has no record of
+    what the old one ran.
     """
     log = RunLog(fleet)
     way = ("tallinn-1", "paying-rotterdam")
@@ -213,12 +212,12 @@
 async def test_an_entry_that_wakes_runs_nothing_its_callers_gave_up(
     fleet: Fleet, session: aiohttp.ClientSession, figure: Figure
 ) -> None:
-    """An entry VM freezes with requests in its sockets, its callers leave, and it wakes.
+    """An entry VM freezes with requests in its sockets, its callers disconnect, and it resumes.
 
-    It reads the requests and the closed connections in one go, and must look at both before it
-    sends anything: nobody would get the answer, and the caller has asked elsewhere by then. The
-    closings come through the proxy, which may be slow to pass them on: woken before they are in its
-    sockets, the VM can't know, and rightly runs the requests.
+    It reads the requests and the closed connections at once and must check for the latter before
+    it sends anything: no one would get the answer, and the callers may have retried elsewhere. The
+    test waits until the proxy has closed its connections to the VM, since otherwise the VM could
+    not detect the disconnects and would rightly run the requests.
     """
     log, vm = RunLog(fleet), "rotterdam-1"
 
@@ -235,9 +234,13 @@
     connector = aiohttp.TCPConnector(limit=0, force_close=True)
     fleet.freeze(vm)
     try:
-        async with aiohttp.ClientSession(timeout=timeout, connector=connector) as impatient:
+        async with aiohttp.ClientSession(
+            timeout=timeout, connector=connector
+        ) as short_timeout_session:
             asks = (QUERY, WHOLE_QUERY, DESK_CALL)
-            replies = await ask_all(fleet, impatient, [(vm, "paying-rotterdam")], asks * 4)
+            replies = await ask_all(
+                fleet, short_timeout_session, [(vm, "paying-rotterdam")], asks * 4
+            )
         await wait_until(all_have_left)
     finally:
         fleet.thaw(vm)
--- a/tests/test_proof_orders.py
+++ b/tests/test_proof_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines when the VM that gave them freezes and wakes (real processes)."""
+"""Orders to engines while the VM that sends them is frozen and resumed (real processes)."""
 
 import pytest
 from callers import wait_until
@@ -8,8 +8,8 @@
 MODEL = "draft-large"
 
 
-async def taken(fleet, server, kind):
-    """Return the versions that an engine took by orders of one kind, in order."""
+async def accepted_versions(fleet, server, kind):
+    """Return the versions of the orders of one kind that an engine accepted, in order."""
     address = f"127.0.0.1:{fleet.servers[server].port}"
     log = (await fleet.get(address, "/admin/orders"))["orders"]
     return [each["version"] for each in log if each["order"] == kind and not each["refused"]]
@@ -21,19 +21,19 @@
 
 
 async def served_everywhere(fleet, version):
-    loaded = await taken(fleet, IGNORING, "load_model")
-    served = await taken(fleet, CHECKING, "serve_version")
+    loaded = await accepted_versions(fleet, IGNORING, "load_model")
+    served = await accepted_versions(fleet, CHECKING, "serve_version")
     return version in loaded and served[-1:] == [version]
 
 
 @pytest.mark.proof
 async def test_order_of_a_vm_that_wakes_undoes_nothing(rondinella, figure):
-    """The operator publishes a version and it stays in service, whoever froze meanwhile.
+    """A published version stays in service although a VM with an outdated view resumes.
 
-    Each VM of Milan in turn freezes; the operator publishes a new version; the other VM takes the
-    frozen one's engines over and orders it; the first wakes with its old view. It owns engines
-    again later, and must neither undo the version nor order anything else than loads from the
-    engine that checks no numbers.
+    Each VM of Milan in turn is frozen and the operator publishes a new version. The other VM takes
+    over the frozen VM's engines and sends the orders. The frozen VM resumes with its old view and
+    owns engines again later. It must not undo the version, and must send only load orders to the
+    engine that checks no fencing numbers.
     """
     fleet = rondinella
     fleet.processes.kill(CHECKING)
@@ -48,9 +48,9 @@
         await wait_until(lambda version=f"v{number}": served_everywhere(fleet, version))
         fleet.thaw(vm)
         await wait_until(lambda vm=vm, revision=revision: is_in_force(fleet, vm, revision))
-    served = await taken(fleet, CHECKING, "serve_version")
+    served = await accepted_versions(fleet, CHECKING, "serve_version")
     assert served == sorted(served)
-    assert await taken(fleet, IGNORING, "serve_version") == []
+    assert await accepted_versions(fleet, IGNORING, "serve_version") == []
     figure("orders served by the checking engine", len(served))
 
 
--- a/tests/test_proof_pause.py
+++ b/tests/test_proof_pause.py
@@ -1,9 +1,9 @@
-"""Prove that a VM that stood still distrusts its own view (real processes)."""
+"""Prove that a VM does not rely on its outdated view after a pause (real processes)."""
 
 import pytest
 from callers import wait_until
 
-FROZEN, WITNESS = "milan-1", "milan-2"
+FROZEN, OBSERVER = "milan-1", "milan-2"
 
 
 async def suspects(fleet, vm):
@@ -19,32 +19,32 @@
 
 @pytest.mark.proof
 async def test_vm_that_wakes_declares_nobody_dead(rondinella, figure):
-    """A caller that asks a VM just woken still learns of the other entry VMs.
+    """A VM that has just resumed still lists the other entry VMs for its callers.
 
-    The VM freezes, and what its peers send is held up on the way until after it wakes. They suspect
-    it; it has heard nobody for as long. Judged by the clock alone all of them would look dead to
-    it, although it was the one that stood still.
+    The VM is frozen, and its peers' messages are delayed until after it resumes. The peers suspect
+    it, and it has received nothing from them for as long. By the clock alone it would suspect all
+    of them, although it was the one that paused.
     """
     fleet = rondinella
     others = set(fleet.entries) - {FROZEN}
 
     async def is_suspected():
-        return FROZEN in await suspects(fleet, WITNESS)
+        return FROZEN in await suspects(fleet, OBSERVER)
 
     async def is_trusted_again():
-        return FROZEN not in await suspects(fleet, WITNESS)
+        return FROZEN not in await suspects(fleet, OBSERVER)
 
-    async def knows_all():
+    async def lists_all():
         return await entries_listed_by(fleet, FROZEN) >= others
 
-    await wait_until(knows_all)
+    await wait_until(lists_all)
     fleet.freeze(FROZEN)
     for routes in (f"peer/*/{FROZEN}", "peer/milan/*"):
         await fleet.fault(routes, "cut")
     await wait_until(is_suspected)
     fleet.thaw(FROZEN)
-    declared, listed = await suspects(fleet, FROZEN), await entries_listed_by(fleet, FROZEN)
-    assert declared == set()
+    suspected, listed = await suspects(fleet, FROZEN), await entries_listed_by(fleet, FROZEN)
+    assert suspected == set()
     assert listed >= others
     await fleet.fault("*", "pass")
     await wait_until(is_trusted_again)
--- a/tests/test_proof_peers_only.py
+++ b/tests/test_proof_peers_only.py
@@ -1,4 +1,4 @@
-"""The peers' interface lets only peers in."""
+"""Prove that the peers' interface accepts calls only from peers."""
 
 import time
 from typing import Any
@@ -50,7 +50,7 @@
 
 
 def metadata_of_strangers(method: str) -> dict[str, dict[str, str]]:
-    """Return what callers without a key may try."""
+    """Return the metadata that callers without the key could send."""
     fleet_keys = PeerKeys([PeerKey(**PEER_KEY)])
     other = next(each for each in REQUESTS if each != method)
     return {
@@ -61,7 +61,7 @@
 
 
 async def call_as(fleet: Fleet, method: str, metadata: dict[str, str]) -> Status:
-    """Call a peer's method and return how that ended."""
+    """Call a peer's method and return the resulting status."""
     channel = Channel(HOST, fleet.entries["milan-1"].peer_port)
     try:
         async with getattr(PeerStub(channel), method).open(metadata=metadata) as stream:
@@ -76,9 +76,9 @@
 
 @pytest.mark.proof
 async def test_only_peers_are_let_in(rondinella: Fleet, figure: Figure) -> None:
-    # Someone on the network calls every method that daemons offer each other: without a key, with
-    # a guessed one, and with what a real peer sent for another method. Let in, it could run
-    # requests past all limits, cancel those of others, or make a VM leave the fleet.
+    # An intruder on the network calls every peer method: without a key, with a guessed key, and
+    # with the metadata that a peer sent for another method. If accepted, it could run requests
+    # without limits, cancel others' requests, or make a VM leave the fleet.
     fleet, statuses = rondinella, []
     for method in REQUESTS:
         for metadata in metadata_of_strangers(method).values():
--- a/tests/test_proof_planned_stop.py
+++ b/tests/test_proof_planned_stop.py
@@ -1,4 +1,4 @@
-"""Point 8: a planned stop cuts off nothing in progress."""
+"""Prove guarantee 8: a planned stop cuts off no request in progress."""
 
 import asyncio
 import json
@@ -17,24 +17,24 @@
 
 
 class Callers:
-    """Hold callers that go on asking the system which entry VM to use."""
+    """Callers that keep sending requests to the entry VMs that the system lists."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         self.replies: list[Reply] = []
-        self.turned_away = 0
-        self._going = True
+        self.refusal_count = 0
+        self._is_running = True
 
     async def keep_sending(self, region: str) -> None:
         """Send short requests one after the other, each until it is answered."""
         account = f"paying-{region}"
         async with aiohttp.ClientSession() as session:
-            while self._going:
+            while self._is_running:
                 self.replies.append(await self._until_answered(session, account))
 
     def stop(self) -> None:
         """Let each caller finish its last request."""
-        self._going = False
+        self._is_running = False
 
     async def _until_answered(self, session: aiohttp.ClientSession, account: str) -> Reply:
         body = chat_body("note-small", 8)
@@ -44,7 +44,7 @@
             )
             if reply.run != "no" and "ClientConnectorError" not in reply.error:
                 return reply
-            self.turned_away += 1
+            self.refusal_count += 1
         return reply
 
     async def _addresses(self, account: str) -> list[str]:
@@ -74,7 +74,7 @@
 
 
 async def seconds_until_unlisted(fleet: Fleet, vm: str, neighbour: str) -> float:
-    """Return how long another VM of the region goes on listing this one."""
+    """Return the seconds until another VM of the region no longer lists this one."""
     started_s = time.monotonic()
     plan = fleet.entries[vm]
 
@@ -89,23 +89,23 @@
 
 
 async def is_stopping(fleet: Fleet, vm: str) -> bool:
-    """Tell whether a VM has begun its planned stop."""
+    """Return whether a VM has begun its planned stop."""
     return '"draining"' in fleet.processes.log(vm)
 
 
 async def is_closing_or_gone(fleet: Fleet, vm: str) -> bool:
-    """Tell whether a stopping VM has found its work ended."""
+    """Return whether a stopping VM has no more work in progress."""
     has_ended = fleet.processes.running[vm].poll() is not None
     return has_ended or '"closing"' in fleet.processes.log(vm)
 
 
-async def wait_until_acquainted(fleet: Fleet) -> None:
-    """Return once every entry VM would pass each region's drafts on to it.
+async def wait_until_forwarding(fleet: Fleet) -> None:
+    """Wait until every entry VM would send each region's drafts to that region.
 
-    A VM that has just started refuses them as "not run" until it has heard of their region.
+    A VM that has just started refuses them as "not run" until it receives updates from the region.
     """
 
-    async def is_acquainted() -> bool:
+    async def is_forwarding() -> bool:
         for vm in fleet.entries:
             for region in fleet.deployment.regions:
                 path = f"/v1/explain?class=draft&account=paying-{region}"
@@ -113,12 +113,12 @@
                     return False
         return True
 
-    await wait_until(is_acquainted)
+    await wait_until(is_forwarding)
 
 
 async def hold_streams(fleet: Fleet, vm: str) -> HeldStreams:
-    """Start streams through a VM, passed on by it, and passed on to its region."""
-    await wait_until_acquainted(fleet)
+    """Start streams that a VM serves, that it forwards, and that are forwarded to its region."""
+    await wait_until_forwarding(fleet)
     regions = fleet.deployment.regions
     region = fleet.entries[vm].region
     other = regions[(regions.index(region) + 1) % len(regions)]
@@ -133,10 +133,10 @@
 
 @pytest.mark.proof
 async def test_rolling_replacement_cuts_nothing_off(rondinella: Fleet, figure: Figure) -> None:
-    # Callers read long drafts while every entry VM is stopped and started again in turn. Streams
-    # run on the stopping VM, from it to a peer, and from a peer to it; others keep asking which
-    # entry to use. A stop that closes too early shows as a stream without its end, a refusal that
-    # leaves the outcome open, or a reset connection.
+    # Callers read long drafts while every entry VM is stopped and restarted in turn. The stopping
+    # VM serves some of the streams, forwards some, and receives some from peers; other callers keep
+    # looking up entry VMs. A VM that closes too early causes incomplete streams, refusals with an
+    # unknown outcome, or reset connections.
     fleet, replies, unlisted_s, stop_s = rondinella, [], [], []
     async with steady_callers(fleet) as callers:
         for vm, plan in fleet.entries.items():
@@ -160,7 +160,7 @@
     figure("daemons replaced", len(fleet.entries))
     figure("long streams", len(replies))
     figure("short requests", len(callers.replies))
-    figure("sent on to the next entry", callers.turned_away)
+    figure("sent on to the next entry", callers.refusal_count)
     figure("not answered whole", len(cut))
     figure("most seconds until unlisted", max(unlisted_s))
     figure("most seconds of a stop", max(stop_s))
@@ -171,9 +171,9 @@
 async def test_ids_of_a_stopped_vm_are_answered_by_its_successor(
     vasktoru: Fleet, figure: Figure
 ) -> None:
-    # A trader sends a Quick Query under an issued id and the issuer is stopped while it runs.
-    # The answer still comes whole; after the stop its repeat at another VM gets that same answer
-    # and runs nothing, and an id that was not used yet runs once.
+    # A caller sends a quick query under an issued id, and the issuer is stopped while the query
+    # runs. The answer must still be complete. After the stop, repeats at other VMs must get the
+    # same answer and run nothing, and an unused id must run once.
     fleet, account = vasktoru, "paying-tallinn"
     first_id, second_id, *_ = await request_ids(
         fleet, fleet.direct("tallinn-1"), account, "quick-query"
@@ -219,9 +219,9 @@
 async def test_requests_that_meet_the_stop_run_only_if_answered(
     rondinella: Fleet, figure: Figure
 ) -> None:
-    # Callers who haven't heard of the stop go on sending pings, which may not be doubled, on open
-    # connections until the stopping VM is gone. A connection that is reset tells a caller nothing,
-    # so it must only ever hit a ping that was not run; a refusal says so itself.
+    # Callers keep sending non-repeatable pings on open connections until the stopping VM exits. A
+    # reset connection leaves the outcome open for the caller, so it must affect only pings that
+    # have not run; a refusal must say that the ping has not run.
     fleet, vm, replies = rondinella, "milan-1", list[Reply]()
     address, path = fleet.direct(vm), "/services/webhooks/ping"
 
@@ -257,8 +257,8 @@
 
 @pytest.mark.proof
 async def test_a_slow_reader_gets_its_whole_answer(rondinella: Fleet, figure: Figure) -> None:
-    # A build server reads a large answer slowly. The gateway has all of it, and part of that still
-    # waits in the process when the stop is asked for; an exit then would cut the answer's end off.
+    # A caller reads a large answer slowly. Part of it is still buffered in the gateway's process
+    # when the stop begins; an exit at that time would truncate the answer.
     fleet, vm = rondinella, "milan-1"
     slow = await request_largest_buffered_answer(fleet, vm)
     fleet.terminate(vm)
@@ -274,8 +274,8 @@
 async def test_a_request_still_being_sent_is_refused_not_cut(
     rondinella: Fleet, figure: Figure
 ) -> None:
-    # A caller is in the middle of sending a large repository when the stop is asked for. It has
-    # not run, and the caller must be told so rather than find its connection reset.
+    # The stop begins while a caller is still sending a request. The request has not run, and the
+    # caller must get a refusal that says so instead of a reset connection.
     fleet, vm = rondinella, "milan-1"
     reader, writer = await asyncio.open_connection(*fleet.direct(vm).split(":"))
     body = json.dumps(chat_body("note-small")).encode()
--- a/tests/test_proof_resume.py
+++ b/tests/test_proof_resume.py
@@ -1,4 +1,4 @@
-"""Prove that a forwarded stream goes on when the way to its executing peer is lost: point 4."""
+"""Prove guarantee 4: a forwarded stream continues if the link to its executing peer is lost."""
 
 import asyncio
 from collections import Counter
@@ -20,12 +20,12 @@
 pytestmark = [pytest.mark.proof, pytest.mark.asyncio(loop_scope="module")]
 
 ENTRY, ACCOUNT, REGION = "tallinn-1", "paying-rotterdam", "rotterdam"
-STRUCK, OTHER = "rotterdam-1", "rotterdam-2"
-STRUCK_LINK, ALL_LINKS = f"peer/tallinn/{STRUCK}", f"peer/tallinn/{REGION}-*"
+FAULTY_PEER, OTHER_PEER = "rotterdam-1", "rotterdam-2"
+FAULTY_LINK, ALL_LINKS = f"peer/tallinn/{FAULTY_PEER}", f"peer/tallinn/{REGION}-*"
 TOKENS, LONG_TOKENS = 800, 3_000
-THROUGH_STRUCK, MAX_STREAMS = 3, 20
-PATIENT = aiohttp.ClientTimeout(total=60.0)
-Strike = Callable[[Fleet], Awaitable[None]]
+MIN_THROUGH_FAULTY_PEER, MAX_STREAMS = 3, 20
+CALLER_TIMEOUT = aiohttp.ClientTimeout(total=60.0)
+FaultInjection = Callable[[Fleet], Awaitable[None]]
 
 
 @pytest_asyncio.fixture(scope="module", loop_scope="module")
@@ -36,7 +36,7 @@
 
 @pytest_asyncio.fixture(loop_scope="module")
 async def session(fleet: Fleet) -> AsyncIterator[aiohttp.ClientSession]:
-    async with caller_session(PATIENT) as opened:
+    async with caller_session(CALLER_TIMEOUT) as opened:
         await serves_again(fleet, opened, [(REVIEW, ENTRY, ACCOUNT)])
         await wait_until(partial(_is_linked, fleet))
         yield opened
@@ -45,11 +45,11 @@
 
 async def _is_linked(fleet: Fleet) -> bool:
     peers = (await fleet.status(ENTRY))["peers"]
-    return all(peers[vm]["linked"] for vm in (STRUCK, OTHER))
+    return all(peers[vm]["linked"] for vm in (FAULTY_PEER, OTHER_PEER))
 
 
 class Streams:
-    """Hold forwarded streams that have begun, enough of them through the struck peer."""
+    """Forwarded streams in progress, enough of them through the faulty peer."""
 
     def __init__(self, fleet: Fleet, session: aiohttp.ClientSession) -> None:
         self._fleet = fleet
@@ -58,8 +58,8 @@
         self.markers: list[str] = []
 
     async def begin(self, tokens: int) -> int:
-        """Send streams one by one; return how many run through the struck peer."""
-        while (through := await self.in_progress(STRUCK)) < THROUGH_STRUCK:
+        """Start streams one by one; return how many run through the faulty peer."""
+        while (through := await self.in_progress(FAULTY_PEER)) < MIN_THROUGH_FAULTY_PEER:
             assert len(self.tasks) < MAX_STREAMS
             begun = asyncio.Event()
             body = chat_body("contract-reader", tokens, "Read this contract. " * 40)
@@ -90,7 +90,7 @@
 
 
 async def check(streams: Streams, through: int, figure: Figure) -> None:
-    """Each text is compared token by token; each stream ran once and to its end."""
+    """Check that each answer is complete and that each stream ran once and to its end."""
     replies = await streams.replies()
     figure("streams", len(replies))
     figure("through the struck peer", through)
@@ -101,11 +101,11 @@
 
 
 async def kill_peer(fleet: Fleet) -> None:
-    fleet.processes.kill(STRUCK)
+    fleet.processes.kill(FAULTY_PEER)
 
 
 async def silence_link(fleet: Fleet) -> None:
-    await fleet.fault(STRUCK_LINK, "silent")
+    await fleet.fault(FAULTY_LINK, "silent")
 
 
 async def silence_all_links(fleet: Fleet) -> None:
@@ -113,7 +113,7 @@
 
 
 async def cut_link(fleet: Fleet) -> None:
-    await fleet.fault(STRUCK_LINK, "cut")
+    await fleet.fault(FAULTY_LINK, "cut")
 
 
 async def reset_links(fleet: Fleet) -> None:
@@ -122,14 +122,14 @@
 
 
 async def freeze_peer(fleet: Fleet) -> None:
-    fleet.freeze(STRUCK)
+    fleet.freeze(FAULTY_PEER)
 
 
 async def heal(fleet: Fleet) -> None:
-    if STRUCK not in fleet.processes.running:
-        fleet.start_entry(STRUCK)
-    fleet.thaw(STRUCK)
-    await fleet.wait_ready(STRUCK)
+    if FAULTY_PEER not in fleet.processes.running:
+        fleet.start_entry(FAULTY_PEER)
+    fleet.thaw(FAULTY_PEER)
+    await fleet.wait_ready(FAULTY_PEER)
     await fleet.fault("*", "pass")
 
 
@@ -137,13 +137,13 @@
     "strike", [kill_peer, freeze_peer, silence_link, silence_all_links, cut_link, reset_links]
 )
 async def test_a_forwarded_stream_goes_on_when_its_peer_is_lost(
-    fleet: Fleet, streams: Streams, strike: Strike, figure: Figure
+    fleet: Fleet, streams: Streams, strike: FaultInjection, figure: Figure
 ) -> None:
-    """The way to the executing peer is lost in mid-stream while the engine goes on.
+    """The link to the executing peer is lost in mid-stream while the engine continues.
 
-    The entry VM asks a live peer of that region, the same on a new connection or the one beside
-    it, for the events after the last that it passed on. The caller sees a pause, no gap and no
-    event twice; the engine runs nothing again.
+    The entry VM requests the events after the last one that it relayed from a reachable peer of
+    that region: the same one on a new connection, or another. The caller sees a pause, but no
+    missing or repeated event, and the engine runs nothing again.
     """
     through = await streams.begin(TOKENS)
     await strike(fleet)
@@ -156,33 +156,33 @@
 async def test_a_peer_that_wakes_leaves_the_stream_to_the_one_that_took_over(
     fleet: Fleet, streams: Streams, figure: Figure
 ) -> None:
-    """The executing peer freezes, another takes its streams over, and the frozen one wakes.
+    """The executing peer is frozen, another takes over its streams, and the frozen one resumes.
 
-    It finds its connection closed. Did it tell the engine to cancel, or send on what it holds, the
-    caller would get an error or an event twice.
+    It finds its connection closed. If it cancelled the engine's run or sent its buffered events,
+    the caller would get an error or a repeated event.
     """
     through = await streams.begin(LONG_TOKENS)
-    fleet.freeze(STRUCK)
+    fleet.freeze(FAULTY_PEER)
     try:
         await wait_until(partial(_has_taken_over, streams))
         figure("still running as it wakes", (await streams.states())["running"])
-        fleet.thaw(STRUCK)
+        fleet.thaw(FAULTY_PEER)
         await check(streams, through, figure)
     finally:
         await heal(fleet)
 
 
 async def _has_taken_over(streams: Streams) -> bool:
-    return await streams.in_progress(OTHER) == len(streams.tasks)
+    return await streams.in_progress(OTHER_PEER) == len(streams.tasks)
 
 
 @pytest.mark.parametrize("server", ["contracts-tallinn-1", "contracts-rotterdam-1"])
 async def test_asking_for_the_rest_runs_nothing(
     fleet: Fleet, session: aiohttp.ClientSession, server: str, figure: Figure
 ) -> None:
-    """A peer is asked for the rest of what a server of another region, or no server, has run.
+    """A peer is asked to resume a request on a server that never ran it, or of another region.
 
-    It refuses and says "unknown": its code can ask for events only, and only its own servers.
+    It refuses with "unknown", since it can request only events, and only from its own servers.
     """
     request = forward_message(
         fleet,
@@ -194,7 +194,9 @@
         is_streamed=True,
         is_chat=True,
     )
-    answer = await resume(fleet, STRUCK, pb.ResumeRequest(request=request, server=server), ENTRY)
+    answer = await resume(
+        fleet, FAULTY_PEER, pb.ResumeRequest(request=request, server=server), ENTRY
+    )
     ids = [run["request_id"] for run in await fleet.runs()]
     figure("runs", ids.count(request.request_id))
     assert answer.refusal is not None
@@ -207,7 +209,7 @@
 ) -> None:
     """The executing peer is killed, another takes over, and then the callers close.
 
-    The peer that took over is told at once, cancels the engine's work and frees its slots.
+    The peer that took over must be notified and cancel the engine's runs to free its slots.
     """
     await streams.begin(LONG_TOKENS)
     await kill_peer(fleet)
--- a/tests/test_proof_server_limit.py
+++ b/tests/test_proof_server_limit.py
@@ -1,11 +1,11 @@
-"""Prove with real daemons that servers that name a limit get no more than that from them all."""
+"""Prove that a server's announced request rate limit holds over all daemons together."""
 
 import time
 from random import Random
 
 import pytest
 
-from soak.__main__ import LEAST_SERVED_SHARE, wait_ready
+from soak.__main__ import MIN_SERVED_SHARE, wait_ready
 from soak.fleet import SoakFleet
 from soak.limited import LimitedServers
 
@@ -15,7 +15,7 @@
 
 
 async def test_server_that_names_a_limit_gets_no_more_from_two_daemons() -> None:
-    """Each region has two daemons and two servers; one of these takes a request in two seconds."""
+    """Each region has two daemons and two servers, one of which allows one request in 2 s."""
     async with SoakFleet(random=Random(1)) as fleet:
         await wait_ready(fleet)
         limited = LimitedServers(fleet=fleet, random=Random(2))
@@ -24,5 +24,5 @@
         await limited.send_until(started_s + SENDING_S)
         await limited.stop()
     assert set(limited.arrivals_s) == {"limited-ra", "limited-rb"}
-    assert limited.broken_promises() == []
-    assert limited.served_share(started_s) > LEAST_SERVED_SHARE
+    assert limited.find_violations() == []
+    assert limited.served_share(started_s) > MIN_SERVED_SHARE
--- a/tests/test_proof_soak.py
+++ b/tests/test_proof_soak.py
@@ -1,4 +1,4 @@
-"""Seeds of the soak: a short one, and each that has shown a fault."""
+"""Soak runs: a short one, and the seeds that have reproduced a fault."""
 
 import pytest
 
@@ -6,8 +6,8 @@
 
 pytestmark = pytest.mark.proof
 
-# A signal to read the settings again ended a daemon that was still importing; nobody took its
-# clients' work after the faults.
+# SIGHUP, which reloads the settings, ended a daemon that was still importing its modules. Its
+# clients were not served after the faults.
 SIGNAL_DURING_START = (303, 310)
 
 
@@ -15,11 +15,11 @@
     ("seed", "faults_for_s"), [(1, 5.0), *((seed, 12.0) for seed in SIGNAL_DURING_START)]
 )
 async def test_promises_hold_while_faults_come_and_go(seed: int, faults_for_s: float) -> None:
-    """Clients send while daemons are killed, paused and stopped and connections fall silent.
+    """Clients send requests while daemons are killed, paused and stopped and connections fail.
 
-    What may run once ran once at most, what was refused never ran, every success was whole, and
-    requests are served again afterwards.
+    Non-repeatable requests must run at most once, refused requests must not run, successful
+    answers must be complete, and requests must be served again after the faults.
     """
     result = await run_seed(seed, faults_for_s)
-    assert result.broken == []
+    assert result.violations == []
     assert result.requests > 0
--- a/tests/test_proof_two_faults.py
+++ b/tests/test_proof_two_faults.py
@@ -1,4 +1,4 @@
-"""Two faults at once."""
+"""Prove that guarantees hold under two simultaneous faults."""
 
 import time
 
@@ -13,7 +13,7 @@
 
 
 def report(figure: Figure, replies: list[Reply], runs: list[str]) -> None:
-    """Record how the requests ended."""
+    """Record the outcomes of the requests as figures."""
     figure("requests", len(replies))
     figure("answered whole", sum(each.is_answered for each in replies))
     figure("told: may have run", sum(each.run == "unknown" for each in replies))
@@ -26,10 +26,10 @@
 
 @pytest.mark.proof
 async def test_a_frozen_peer_and_a_killed_engine(vasktoru: Fleet, figure: Figure) -> None:
-    # Reviews that belong to Warsaw are read through Tallinn. One of Warsaw's entry VMs freezes and
-    # one of its two engines is killed at the same moment, then the frozen VM wakes. Reviews may
-    # come late, but each ends whole or with an error event, none is told "not run" that ran, and
-    # what comes afterwards is answered.
+    # Reviews with home region Warsaw are streamed through Tallinn. One of Warsaw's entry VMs is
+    # frozen and one of its two engines is killed at the same time; later the VM resumes. Reviews
+    # may be late, but each must end complete or with an error event, none that ran may be reported
+    # as "not run", and later requests must be answered.
     fleet, account = vasktoru, "paying-warsaw"
     streams = HeldStreams(fleet)
     for _ in range(STREAMS):
@@ -57,9 +57,8 @@
 
 @pytest.mark.proof
 async def test_silent_connections_during_a_rolling_stop(rondinella: Fleet, figure: Figure) -> None:
-    # While the entry VMs are replaced in turn, every open connection between regions and to the
-    # engines falls silent for good. The stop must neither cut the drafts in progress nor wait for
-    # connections that will never speak again.
+    # While the entry VMs are replaced in turn, all open connections to peers and engines stop
+    # delivering. The stop must neither cut off drafts in progress nor wait for those connections.
     fleet, replies, stops_s = rondinella, [], []
     for vm, plan in fleet.entries.items():
         streams = HeldStreams(fleet)
@@ -86,9 +85,9 @@
 
 @pytest.mark.proof
 async def test_a_frozen_successor_during_a_planned_stop(vasktoru: Fleet, figure: Figure) -> None:
-    # The only VM that can take over the stopping VM's request ids is frozen. A query that ran comes
-    # back whole; its repeat elsewhere must be told "unknown" or the first outcome, never "not run",
-    # and run nothing; an unused id runs once at most, also when the frozen VM wakes with it.
+    # The only VM that can take over the stopping VM's request ids is frozen. Repeats of a query
+    # that ran must get "unknown" or the first outcome, never "not run", and must run nothing. An
+    # unused id must run at most once, also after the frozen VM resumes.
     fleet, account = vasktoru, "paying-tallinn"
     used, unused, *_ = await request_ids(fleet, fleet.direct("tallinn-1"), account, "quick-query")
     bodies = {key: chat_body("contract-reader") for key in (used, unused)}
