--- a/tests/test_proof_answers.py
+++ b/tests/test_proof_answers.py
@@ -16,13 +16,13 @@
     QUERY,
     REVIEW,
     WHOLE_QUERY,
-    Ask,
+    RequestSpec,
     RunLog,
     caller_session,
-    serves_again,
+    contradicted_replies,
+    reported_outcome,
     settle,
-    told,
-    untrue,
+    wait_until_served,
 )
 
 from harness.deployments import VASKTORU
@@ -52,7 +52,7 @@
 async def session(fleet: Fleet) -> AsyncIterator[aiohttp.ClientSession]:
     async with caller_session(CALLER_TIMEOUT) as opened:
         ways = [(ask, *way) for way in (LOCAL, FORWARDED) for ask in (QUERY, DESK_CALL)]
-        await serves_again(fleet, opened, ways)
+        await wait_until_served(fleet, opened, ways)
         yield opened
     await settle(fleet, RunLog(fleet))
 
@@ -66,7 +66,7 @@
         self._begun: list[asyncio.Event] = []
         self._tasks: list[asyncio.Task[Reply]] = []
 
-    async def begin(self, way: tuple[str, str], asks: list[Ask]) -> None:
+    async def begin(self, way: tuple[str, str], asks: list[RequestSpec]) -> None:
         """Send requests and return once each streamed one has received a token."""
         vm, account = way
         for ask in asks:
@@ -98,10 +98,12 @@
 async def check(fleet: Fleet, replies: list[Reply], figure: Figure, *allowed: str) -> None:
     log = RunLog(fleet)
     await settle(fleet, log)
-    outcomes = Counter(map(told, replies))
+    outcomes = Counter(map(reported_outcome, replies))
     for name, count in sorted(outcomes.items()):
         figure(name, count)
-    assert [each for each in untrue(replies, await log.starts()) if "looks whole" in each] == []
+    assert [
+        each for each in contradicted_replies(replies, await log.starts()) if "looks whole" in each
+    ] == []
     assert set(outcomes) <= set(allowed), [each.problem or each.error for each in replies]
 
 
@@ -170,7 +172,7 @@
     log = RunLog(fleet)
     await streams.begin(LOCAL, [LONG, LONG_WHOLE] * 6)
     await log.kill(ENGINES[0])
-    await log.revive(ENGINES[0])
+    await log.restart(ENGINES[0])
     await check(fleet, await streams.replies(), figure, "answered", "broken off, run unknown")
     whole = (await streams.replies())[1::2]
     assert [each.problem for each in whole if not each.is_answered] == []
--- a/tests/test_proof_at_most_once.py
+++ b/tests/test_proof_at_most_once.py
@@ -13,7 +13,16 @@
 from attrs import define, field
 from callers import Reply
 from proof_report import Figure
-from run_checks import DESK_CALL, QUERY, WHOLE_QUERY, Ask, RunLog, settle, told, untrue
+from run_checks import (
+    DESK_CALL,
+    QUERY,
+    WHOLE_QUERY,
+    RequestSpec,
+    RunLog,
+    contradicted_replies,
+    reported_outcome,
+    settle,
+)
 
 from harness.deployments import VASKTORU
 from harness.fleet import Fleet
@@ -104,12 +113,14 @@
             reply = await self._send(ask, vm, account, key, marker)
         self.finals.append(reply)
 
-    async def _send(self, ask: Ask, vm: str, account: str, key: str, marker: str = "") -> Reply:
+    async def _send(
+        self, ask: RequestSpec, vm: str, account: str, key: str, marker: str = ""
+    ) -> Reply:
         reply = await ask.send(self.fleet, self.session, vm, account, key, marker)
         self.replies.append(reply)
         return reply
 
-    async def _issued_id(self, account: str, ask: Ask) -> str:
+    async def _issued_id(self, account: str, ask: RequestSpec) -> str:
         vm = self._entry_for(account)
         try:
             async with self.session.get(
@@ -164,7 +175,7 @@
     async def _restart(self, target: str) -> Heal:
         if target in self.fleet.servers:
             await self.log.kill(target)
-            return lambda: self.log.revive(target)
+            return lambda: self.log.restart(target)
         self.fleet.processes.kill(target)
 
         async def start() -> None:
@@ -201,11 +212,11 @@
     figure("seed", seed)
     figure("requests", len(schedule.finals))
     figure("most runs of one", max(starts[each.marker] for each in schedule.replies))
-    for name, count in sorted(Counter(map(told, schedule.finals)).items()):
+    for name, count in sorted(Counter(map(reported_outcome, schedule.finals)).items()):
         figure(name, f"{count / len(schedule.finals):.0%}")
     figure("repeats", schedule.repeats)
     figure("faults", sum(schedule.faults.values()))
     runs_by_marker = {each.marker: starts[each.marker] for each in schedule.replies}
     assert {marker: count for marker, count in runs_by_marker.items() if count > 1} == {}
-    assert untrue(schedule.replies, starts) == []
+    assert contradicted_replies(schedule.replies, starts) == []
     assert len(schedule.finals) == REQUESTS
--- a/tests/test_proof_home.py
+++ b/tests/test_proof_home.py
@@ -99,7 +99,7 @@
     replies = await asyncio.gather(*asking)
     figure("answered", sum(reply.is_answered for reply in replies))
     figure("refused or unknown", sum(bool(reply.problem) for reply in replies))
-    assert [reply for reply in replies if reply.is_cut] == []
+    assert [reply for reply in replies if reply.is_incomplete] == []
     assert await regions_run(vasktoru) == {HOME}
 
 
--- a/tests/test_proof_not_run.py
+++ b/tests/test_proof_not_run.py
@@ -13,17 +13,17 @@
 from proof_report import Figure
 from run_checks import (
     DESK_CALL,
-    ONCE_CLASSES,
+    NON_REPEATABLE_CLASSES,
     QUERY,
     REVIEW,
     WHOLE_QUERY,
-    Ask,
+    RequestSpec,
     RunLog,
     caller_session,
-    serves_again,
+    contradicted_replies,
+    reported_outcome,
     settle,
-    told,
-    untrue,
+    wait_until_served,
 )
 
 from harness.deployments import VASKTORU
@@ -71,7 +71,10 @@
 
 
 async def ask_all(
-    fleet: Fleet, session: aiohttp.ClientSession, ways: list[tuple[str, str]], asks: tuple[Ask, ...]
+    fleet: Fleet,
+    session: aiohttp.ClientSession,
+    ways: list[tuple[str, str]],
+    asks: tuple[RequestSpec, ...],
 ) -> list[Reply]:
     return await asyncio.gather(
         *(ask.send(fleet, session, vm, account) for vm, account in ways for ask in asks)
@@ -96,10 +99,10 @@
 async def check(fleet: Fleet, log: RunLog, replies: list[Reply], figure: Figure) -> None:
     await settle(fleet, log)
     starts = await log.starts()
-    assert untrue(replies, starts) == []
-    once = [each for each in replies if each.class_name in ONCE_CLASSES]
+    assert contradicted_replies(replies, starts) == []
+    once = [each for each in replies if each.class_name in NON_REPEATABLE_CLASSES]
     assert [each.marker for each in once if starts[each.marker] > 1] == []
-    for name, count in sorted(Counter(map(told, replies)).items()):
+    for name, count in sorted(Counter(map(reported_outcome, replies)).items()):
         figure(name, count)
 
 
@@ -114,7 +117,7 @@
     """
     log = RunLog(fleet)
     ways = [(vm, account) for _, vm, account in LINKS.values()]
-    await serves_again(fleet, session, [(a, *way) for way in ways for a in (QUERY, DESK_CALL)])
+    await wait_until_served(fleet, session, [(a, *way) for way in ways for a in (QUERY, DESK_CALL)])
     for route, _, _ in LINKS.values():
         await fleet.fault(route, **STEPS[step])
     replies = await ask_all(fleet, session, ways, ASKS * 2)
@@ -159,7 +162,7 @@
     freeze, thaw = FREEZES[frozen]
     log = RunLog(fleet)
     ways = [("rotterdam-1", "paying-rotterdam"), ("tallinn-1", "paying-rotterdam")]
-    await serves_again(fleet, session, [(a, *way) for way in ways for a in (QUERY, DESK_CALL)])
+    await wait_until_served(fleet, session, [(a, *way) for way in ways for a in (QUERY, DESK_CALL)])
     await freeze(fleet, log)
     try:
         replies = await ask_all(fleet, session, ways[1:] if frozen == "peers" else ways, ASKS * 2)
@@ -178,13 +181,13 @@
     """
     log = RunLog(fleet)
     way, asks = ("rotterdam-1", "paying-rotterdam"), (evolve(QUERY, tokens=200, deadline_s=4.0),)
-    await serves_again(fleet, session, [(QUERY, *way)])
+    await wait_until_served(fleet, session, [(QUERY, *way)])
     await fleet.fault("server/rotterdam/contracts-*", "cut_to_client")
     asking = await ask_until_run(fleet, session, log, way, asks * 6)
     for name in ENGINES:
         await log.kill(name)
     for name in ENGINES:
-        await log.revive(name)
+        await log.restart(name)
     await check(fleet, log, await asyncio.gather(*asking), figure)
 
 
@@ -199,7 +202,7 @@
     log = RunLog(fleet)
     way = ("tallinn-1", "paying-rotterdam")
     asks = tuple(evolve(each, tokens=200, deadline_s=4.0) for each in ASKS)
-    await serves_again(fleet, session, [(QUERY, *way), (DESK_CALL, *way)])
+    await wait_until_served(fleet, session, [(QUERY, *way), (DESK_CALL, *way)])
     asking = await ask_until_run(fleet, session, log, way, asks * 2)
     for vm in PEERS:
         fleet.processes.kill(vm)
@@ -228,7 +231,7 @@
     async def all_have_left() -> bool:
         return await connections_kept() <= kept_before
 
-    await serves_again(fleet, session, [(QUERY, vm, "paying-rotterdam")])
+    await wait_until_served(fleet, session, [(QUERY, vm, "paying-rotterdam")])
     kept_before = await connections_kept()
     timeout = aiohttp.ClientTimeout(total=0.5)
     connector = aiohttp.TCPConnector(limit=0, force_close=True)
--- a/tests/test_proof_resume.py
+++ b/tests/test_proof_resume.py
@@ -11,7 +11,7 @@
 from callers import Reply, chat, chat_body, wait_until
 from peer_calls import forward_message, resume
 from proof_report import Figure
-from run_checks import REVIEW, RunLog, caller_session, serves_again, settle, told
+from run_checks import REVIEW, RunLog, caller_session, reported_outcome, settle, wait_until_served
 
 from harness.deployments import VASKTORU
 from harness.fleet import Fleet
@@ -37,7 +37,7 @@
 @pytest_asyncio.fixture(loop_scope="module")
 async def session(fleet: Fleet) -> AsyncIterator[aiohttp.ClientSession]:
     async with caller_session(CALLER_TIMEOUT) as opened:
-        await serves_again(fleet, opened, [(REVIEW, ENTRY, ACCOUNT)])
+        await wait_until_served(fleet, opened, [(REVIEW, ENTRY, ACCOUNT)])
         await wait_until(partial(_is_linked, fleet))
         yield opened
     await settle(fleet, RunLog(fleet))
@@ -94,7 +94,7 @@
     replies = await streams.replies()
     figure("streams", len(replies))
     figure("through the struck peer", through)
-    for outcome, count in sorted(Counter(map(told, replies)).items()):
+    for outcome, count in sorted(Counter(map(reported_outcome, replies)).items()):
         figure(outcome, count)
     assert [each.problem or each.error for each in replies if not each.is_answered] == []
     assert await streams.states() == {"finished": len(replies)}
--- a/tests/test_proof_two_faults.py
+++ b/tests/test_proof_two_faults.py
@@ -18,7 +18,7 @@
     figure("answered whole", sum(each.is_answered for each in replies))
     figure("told: may have run", sum(each.run == "unknown" for each in replies))
     figure("told: not run", sum(each.run == "no" for each in replies))
-    figure("cut without a word", sum(each.is_cut for each in replies))
+    figure("cut without a word", sum(each.is_incomplete for each in replies))
     figure(
         "told not run but run", sum(each.run == "no" and each.marker in runs for each in replies)
     )
@@ -50,7 +50,7 @@
     runs = [run["marker"] for run in await fleet.runs()]
     report(figure, replies, runs)
     figure("afterwards answered whole", sum(each.is_answered for each in afterwards))
-    assert not [each for each in replies if each.is_cut]
+    assert not [each for each in replies if each.is_incomplete]
     assert not [each for each in replies if each.run == "no" and each.marker in runs]
     assert all(each.is_answered for each in afterwards)
 
@@ -80,7 +80,7 @@
     figure("daemons replaced", len(stops_s))
     figure("most seconds of a stop", max(stops_s))
     report(figure, replies, [run["marker"] for run in await fleet.runs()])
-    assert not [each for each in replies if each.is_cut]
+    assert not [each for each in replies if each.is_incomplete]
 
 
 @pytest.mark.proof
@@ -114,4 +114,4 @@
     assert counts[0] == 1
     assert counts[1] <= 1
     assert not [each for each in replies if each.run == "no" and each.marker in markers]
-    assert not [each for each in replies if each.is_cut]
+    assert not [each for each in replies if each.is_incomplete]
