--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measure the gateway: its overhead and its decisions."""
+"""Benchmarks of the gateway's overhead, decisions and behaviour under load and faults."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Run the bench: `python -m bench` for all of it, `--check` for the shorter one with bounds."""
+"""Run the bench: `python -m bench` in full, `--check` for a short run against regression bounds."""
 
 import argparse
 import asyncio
@@ -51,7 +51,7 @@
 
 
 async def _run_all(is_check: bool) -> dict[str, Any] | None:
-    """Run both deployments side by side; return None where one did not finish."""
+    """Run both deployments in parallel; return None if one failed."""
     outs = {name: RESULTS / f"{name}{'-check' if is_check else ''}.json" for name in TRAFFIC}
     RESULTS.mkdir(exist_ok=True)
     codes = await asyncio.gather(*(_run_child(name, is_check, out) for name, out in outs.items()))
@@ -61,14 +61,14 @@
 
 
 def main() -> int:
-    """Run, print the targets, and fail past the bounds where asked."""
+    """Run, print the targets and, with --check, fail if a regression bound is exceeded."""
     options = _options()
     if options.deployment:
         return _run_one(options)
     started_s = time.monotonic()
     results = asyncio.run(_run_all(options.check))
     if results is None:
-        print("a deployment's run did not finish; its error stands above")
+        print("the run of a deployment failed; see its error above")
         return 2
     for target in evaluate(results):
         print(target.line())
--- a/bench/bare_relay.py
+++ b/bench/bare_relay.py
@@ -1,4 +1,4 @@
-"""Relay chat requests to one engine with no decisions: what the daemon is measured against."""
+"""Relay chat requests to one engine without any routing, as the baseline of the overhead bench."""
 
 import argparse
 
@@ -11,7 +11,7 @@
 
 
 async def relay(request: web.Request) -> web.StreamResponse:
-    """Pass one request on and its answer back as it comes."""
+    """Forward one request and stream its answer back."""
     body = await request.read()
     headers = {"Content-Type": "application/json"}
     url = f"http://{request.app[TARGET]}{CHAT_PATH}"
@@ -26,14 +26,14 @@
 
 
 async def hold_session(app: web.Application):  # type: ignore[no-untyped-def]
-    """Keep one session with pooled connections for as long as the relay runs."""
+    """Keep one session with pooled connections open while the relay runs."""
     async with aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session:
         app[SESSION] = session
         yield
 
 
 def main() -> None:
-    """Serve until told to stop."""
+    """Serve until stopped."""
     parser = argparse.ArgumentParser(prog="bare_relay")
     parser.add_argument("--port", type=int, required=True)
     parser.add_argument("--target", required=True)
--- a/bench/baseline_daemon.py
+++ b/bench/baseline_daemon.py
@@ -1,4 +1,4 @@
-"""Run the daemon with a baseline in place of the gateway's choice of servers."""
+"""Run the daemon with a baseline policy in place of the gateway's server choice."""
 
 import argparse
 import sys
@@ -15,20 +15,20 @@
 
 
 class BaselinePlugin:
-    """Replace the choice of servers when the daemon starts."""
+    """Plug-in that replaces the server choice when the daemon starts."""
 
     def __init__(self, policy: str) -> None:
         self._policy = policy
 
     @hookimpl
     def services(self, context: Context) -> list[PhasedService]:
-        """Set the choice; no service is added."""
+        """Set the policy's server choice; add no service."""
         context.get(LocalDispatch).choose = CHOOSERS[self._policy]()
         return []
 
 
 def main() -> int:
-    """Serve until told to stop."""
+    """Serve until stopped."""
     parser = argparse.ArgumentParser(prog="bench.baseline_daemon")
     parser.add_argument("--policy", choices=sorted(CHOOSERS), required=True)
     parser.add_argument("--settings", required=True)
--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -1,4 +1,4 @@
-"""Choose servers as the simple policies do that the gateway is compared with."""
+"""Simple server-choice policies that the gateway is compared with."""
 
 import itertools
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 
 
 def round_robin() -> ServerChooser:
-    """Return a choice that takes the servers in turn, whatever their load."""
+    """Return a policy that takes the servers in turn, regardless of load."""
     turn = itertools.count()
 
     def choose(
@@ -23,13 +23,13 @@
 
 
 def least_reported_load() -> ServerChooser:
-    """Return a choice that takes the server with the least load in the newest reports."""
+    """Return a policy that takes the server with the least load in its newest report."""
 
     def choose(
         table: LoadTable, work: Work, now_unix_s: float, random: Random, excluded: frozenset[str]
     ) -> Placement | None:
         servers = _servers(table, work, now_unix_s, excluded)
-        # Reports tie for as long as they are old; a fixed order would then fill one server.
+        # Ties last until the next reports; a fixed order would send all work to one server.
         random.shuffle(servers)
         best = min(servers, key=lambda each: _reported(table.report(each.name)), default=None)
         return _place(best) if best else None
--- a/bench/decision_bench.py
+++ b/bench/decision_bench.py
@@ -1,4 +1,4 @@
-"""Drive the pure decision logic in memory: `python -m bench.decision_bench [--only GROUP ...]`."""
+"""Measure the decision logic in memory: `python -m bench.decision_bench [--only GROUP ...]`."""
 
 import argparse
 import json
@@ -16,7 +16,7 @@
 
 
 def main() -> int:
-    """Run the groups, write `results/decisions.json` and print the tables."""
+    """Run the groups, write `results/decisions.json` and `.md`, and print the tables."""
     parser = argparse.ArgumentParser(prog="bench.decision_bench")
     parser.add_argument("--only", nargs="*", choices=sorted(GROUPS), default=sorted(GROUPS))
     options = parser.parse_args()
--- a/bench/decisions/__init__.py
+++ b/bench/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Measure the pure decision logic, one matter a module."""
+"""Measurements of the decision logic, one topic per module."""
--- a/bench/decisions/account_limits.py
+++ b/bench/decisions/account_limits.py
@@ -1,4 +1,4 @@
-"""Measure how far VMs without shared state pass an account's limit."""
+"""Measure how far VMs without shared state exceed an account's limit."""
 
 from bisect import bisect_left
 from collections.abc import Callable
@@ -22,45 +22,45 @@
 ANNOUNCED_CHANGE_SHARE = 0.25
 PARTITIONED_FROM_UNIX_S = 15.0
 
-# Requests a second asked for at one VM, as a multiple of the limit.
+# Request rate at one VM as a multiple of the limit, by VM, time and number of VMs.
 Offer = Callable[[int, float, int], float]
 
 
 class Limiter(Protocol):
-    """Admit requests and exchange demand."""
+    """Limiter that admits requests and exchanges demand with peers."""
 
     def admit(self, account: Account, now_unix_s: float) -> Result[None, float]:
-        """Admit one request or say when to come back."""
+        """Admit one request or return when to retry."""
 
     def demand(self, now_unix_s: float) -> dict[str, float]:
-        """Return the demand to tell."""
+        """Return the demand to send to peers."""
 
     def observe_peer_demand(self, vm: str, rates: dict[str, float], now_unix_s: float) -> None:
-        """Take in a peer's demand."""
+        """Record a peer's demand."""
 
 
 @define
 class EvenLimiter:
-    """Give each VM the same part of the limit; a way to compare with."""
+    """Baseline that gives each VM an equal part of the limit."""
 
     vms: int
     _meter: RateLimiter = field(factory=RateLimiter)
 
     def admit(self, account: Account, now_unix_s: float) -> Result[None, float]:
-        """Admit within the even part."""
+        """Admit one request within the VM's equal part."""
         return _meter(self._meter, account.max_requests_per_s / self.vms, now_unix_s)
 
     def demand(self, now_unix_s: float) -> dict[str, float]:
-        """Tell nothing."""
+        """Return no demand; it is not exchanged."""
         return {}
 
     def observe_peer_demand(self, vm: str, rates: dict[str, float], now_unix_s: float) -> None:
-        """Take in nothing."""
+        """Ignore a peer's demand."""
 
 
 @define
 class EagerLimiter:
-    """Give each VM its part of the demand as it sees it now; a way to compare with."""
+    """Baseline that splits the limit by the current demand that each VM knows of."""
 
     vms: int
     _meter: RateLimiter = field(factory=RateLimiter)
@@ -68,18 +68,18 @@
     _peers: dict[str, float] = field(factory=dict)
 
     def admit(self, account: Account, now_unix_s: float) -> Result[None, float]:
-        """Admit within the share that the own demand has of all known."""
+        """Admit one request within the local share of all known demand."""
         self._demand.count(now_unix_s)
         own = self._demand.rate_per_s(now_unix_s)
         share = own / max(own + sum(self._peers.values()), 1e-9)
         return _meter(self._meter, account.max_requests_per_s * share, now_unix_s)
 
     def demand(self, now_unix_s: float) -> dict[str, float]:
-        """Tell the rate of now."""
+        """Return the current local rate."""
         return {ACCOUNT: self._demand.rate_per_s(now_unix_s)}
 
     def observe_peer_demand(self, vm: str, rates: dict[str, float], now_unix_s: float) -> None:
-        """Take in a peer's rate."""
+        """Record a peer's current rate."""
         self._peers[vm] = rates.get(ACCOUNT, 0.0)
 
 
@@ -105,12 +105,12 @@
 
 
 def run(variant: str, offer: str, limit_per_s: float, vms: int, seed: int) -> dict[str, Any]:
-    """Measure one way under one demand."""
+    """Measure one limiter variant under one demand pattern."""
     return _run(variant, OFFERS[offer], limit_per_s, vms, seed) | {"offer": offer}
 
 
 def run_partitioned(limit_per_s: float, vms: int, seed: int) -> dict[str, Any]:
-    """Part the VMs in two halves for good, with more demand than limit in both."""
+    """Measure a lasting partition into two halves, both with more demand than the limit."""
     result = _run("shipped", OFFERS["300%, all VMs"], limit_per_s, vms, seed, is_partitioned=True)
     return result | {"offer": "300%, parted in two from 15 s on"}
 
--- a/bench/decisions/decision_table.py
+++ b/bench/decisions/decision_table.py
@@ -1,4 +1,4 @@
-"""Write the decision bench's results as tables."""
+"""Merge the decision bench's results and format them as tables."""
 
 import math
 from collections import defaultdict
@@ -6,7 +6,7 @@
 from typing import Any
 
 Row = Mapping[str, Any]
-# Numbers that tell runs apart rather than being measured.
+# Numeric parameters of a run, as opposed to measured values.
 LABELS = ("load", "vms", "limit_per_s", "daemons", "servers")
 
 
@@ -21,7 +21,7 @@
 
 
 def merged_by_seed(rows: Sequence[Row]) -> list[dict[str, Any]]:
-    """Put runs together that differ in their seed only."""
+    """Merge the runs that differ only in their seed."""
     same: defaultdict[tuple[Any, ...], list[Row]] = defaultdict(list)
     for row in rows:
         same[tuple((k, v) for k, v in row.items() if _is_label(k, v))].append(row)
--- a/bench/decisions/jobs.py
+++ b/bench/decisions/jobs.py
@@ -1,4 +1,4 @@
-"""List the runs of each group."""
+"""Runs of each group of the decision bench."""
 
 from collections.abc import Callable
 from typing import Any
@@ -22,7 +22,7 @@
 
 @frozen
 class Job:
-    """Name one run: a module, its function and the arguments."""
+    """One run: a function and its arguments."""
 
     run: Callable[..., dict[str, Any]]
     arguments: tuple[Any, ...]
@@ -46,7 +46,7 @@
 
 
 def _is_feasible(variant: str, daemons: int, servers: int) -> bool:
-    """Leave out subsets that would leave servers without a daemon, or be all servers."""
+    """Reject subsets that contain all servers or may leave servers without a daemon."""
     if not variant.startswith("subset"):
         return True
     size = int(variant.rpartition(" ")[2])
--- a/bench/decisions/overload.py
+++ b/bench/decisions/overload.py
@@ -1,4 +1,4 @@
-"""Measure paying and trial work at twice the capacity."""
+"""Measure paying and trial work at an offered load of twice the capacity."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -21,7 +21,7 @@
 
 
 def run(seed: int, seconds: float, spec: RegionSpec = VASKTORU) -> dict[str, Any]:
-    """Compare the paying load alone, with trial work, and with trial work in the same rank."""
+    """Compare the paying load alone, with trial work, and with trial work of the same rank."""
     per_s = capacity_per_s(seed, spec)
     alone = _run(seed, seconds, spec, per_s, trial_rank=None)
     both = _run(seed, seconds, spec, per_s, trial_rank=Rank.TRIAL)
@@ -43,7 +43,7 @@
 
 
 def capacity_per_s(seed: int, spec: RegionSpec) -> float:
-    """Return the requests a second that the region finishes when flooded."""
+    """Return the requests per second that the saturated region finishes."""
     region = FakeRegion(Clock(), spec, SHIPPED, seed, REVIEW.pool)
     _feed(region, seed, {REVIEW: 20.0, QUERY: 20.0 * QUERIES_PER_REVIEW}, 60.0)
     region.clock.run_until(60.0)
--- a/bench/decisions/queue_order.py
+++ b/bench/decisions/queue_order.py
@@ -1,4 +1,4 @@
-"""Compare orders of the queue while paying work alone is more than the capacity."""
+"""Compare queue orders while the paying work alone exceeds the capacity."""
 
 from typing import Any
 
@@ -18,7 +18,7 @@
 PEAK_ENDS_UNIX_S = 40.0
 END_UNIX_S = 70.0
 REVIEW_WEIGHT = 3.0
-# Reviews may be late but must finish; a query that is late is of little use.
+# A late review is still useful and must finish; a late query is of little use.
 CLASSES = (evolve(REVIEW, deadline_s=40.0), evolve(QUERY, deadline_s=10.0))
 
 
@@ -49,7 +49,7 @@
 
 
 def run(order: str, seed: int) -> dict[str, Any]:
-    """Measure one order through a peak and after it."""
+    """Measure one queue order during and after a peak."""
     variant = evolve(SHIPPED, due=ORDERS[order])
     region = FakeRegion(Clock(), VASKTORU, variant, seed, REVIEW.pool)
     region.admits = True
--- a/bench/decisions/region_loss.py
+++ b/bench/decisions/region_loss.py
@@ -1,4 +1,4 @@
-"""Measure a region's loss and return, and a peak in one region."""
+"""Measure the loss and return of a region, and a peak in one region."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -16,7 +16,7 @@
 RESTORED_UNIX_S = 80.0
 END_UNIX_S = 125.0
 WARM_UP_S = 15.0
-# A second misses the target when fewer of its requests meet it.
+# A second misses the target if a smaller share of its requests meets it.
 MET_SHARE = 0.9
 SMOOTHED_S = 3
 FREE = evolve(DRAFT, class_name="free draft", first_token_target_s=2.0, deadline_s=60.0)
@@ -28,7 +28,7 @@
 def run_loss(
     seed: int, load: float, has_slow_start: bool, variant: Variant = SHIPPED
 ) -> dict[str, Any]:
-    """Lose Milan for a while with three classes running."""
+    """Measure a temporary loss of Milan with three classes running."""
     spec = FleetSpec(region=RONDINELLA, max_share_by_class=SHARES, has_slow_start=has_slow_start)
     fleet = FakeFleet(spec, variant, choose_region, seed, DRAFT.pool)
     for name in spec.names:
@@ -60,7 +60,7 @@
 
 
 def run_peak(seed: int, variant: str) -> dict[str, Any]:
-    """Load Milan above its capacity and the others lightly."""
+    """Measure a load above capacity in Milan and below it in the other regions."""
     variants: dict[str, ChooseRegion] = {
         "home": choose_home,
         "least wait": choose_least,
@@ -95,7 +95,7 @@
 
 
 def _was_cut_off(record: Record) -> bool:
-    """Say whether a request ran in the region as it was lost."""
+    """Return whether a request was running in the region when it was lost."""
     ran_there = record.served_in == "Milan" and record.work.accepted_unix_s < LOST_UNIX_S
     return ran_there and record.finished_unix_s is None
 
--- a/bench/decisions/retry_after.py
+++ b/bench/decisions/retry_after.py
@@ -1,4 +1,4 @@
-"""Measure whether a refused caller's second try succeeds."""
+"""Measure the success of refused callers' second tries."""
 
 from collections.abc import Callable
 from typing import Any
@@ -25,12 +25,12 @@
 
 
 def at_announced_time(refusal: Refusal, now_unix_s: float) -> float:
-    """Come back when the refusal says."""
+    """Return the retry time stated by the refusal."""
     return refusal.retry_at_unix_s or now_unix_s + FIXED_S
 
 
 def after_fixed_time(refusal: Refusal, now_unix_s: float) -> float:
-    """Come back after a fixed time; a way to compare with."""
+    """Return the retry time after a fixed delay, as a baseline."""
     return now_unix_s + FIXED_S
 
 
@@ -38,7 +38,7 @@
 
 
 def run(seed: int, variant: str) -> dict[str, Any]:
-    """Overload a region, then let the load fall; refused callers come back once."""
+    """Measure an overloaded region whose load then falls; refused callers retry once."""
     region = FakeRegion(Clock(), VASKTORU, SHIPPED, seed, REVIEW.pool)
     region.admits = True
     per_s = capacity_per_s(seed, VASKTORU)
--- a/bench/decisions/retry_budget.py
+++ b/bench/decisions/retry_budget.py
@@ -1,4 +1,4 @@
-"""Measure what retries add to the load while many attempts fail."""
+"""Measure the load added by retries while many attempts fail."""
 
 from collections.abc import Callable
 from random import Random
@@ -12,14 +12,14 @@
 REQUESTS = 20_000
 FAILING_SHARE = 0.7
 USUAL_FAILING_SHARE = 0.01
-# The middle fifth of the requests meets failing servers.
+# The middle fifth of the requests is sent to failing servers.
 FAILURES_FROM, FAILURES_UP_TO = 0.4, 0.6
 
 MayRetry = Callable[[int], bool]
 
 
 def run(variant: str, seed: int) -> dict[str, Any]:
-    """Send requests through a stretch in which most attempts fail."""
+    """Measure a series of requests with a phase in which most attempts fail."""
     random, budget = Random(seed), RetryBudget()
     work = Source(DRAFT, seed).draw(0.0).work
 
@@ -36,12 +36,12 @@
     answered = {"usual": 0, "failing": 0}
     for number in range(REQUESTS):
         is_failing = FAILURES_FROM <= number / REQUESTS < FAILURES_UP_TO
-        stretch = "failing" if is_failing else "usual"
+        phase = "failing" if is_failing else "usual"
         failing = FAILING_SHARE if is_failing else USUAL_FAILING_SHARE
         made, succeeded = _send(random, failing, variants[variant])
-        requests[stretch] += 1
-        attempts[stretch] += made
-        answered[stretch] += succeeded
+        requests[phase] += 1
+        attempts[phase] += made
+        answered[phase] += succeeded
         if succeeded:
             budget.observe_success()
     return {
--- a/bench/decisions/server_ways.py
+++ b/bench/decisions/server_ways.py
@@ -1,4 +1,4 @@
-"""Compare ways to choose a server, and ways to dispatch."""
+"""Compare policies for server choice and dispatch."""
 
 from typing import Any
 
@@ -14,7 +14,7 @@
     variant.name: variant
     for variant in (*BASELINES, CHARGED, SHIPPED, OWNER, subset(3), subset(20))
 }
-# Drafts repeat their prefixes, so that a region with warm caches takes more than its cold capacity.
+# Drafts repeat their prefixes, so a region with warm caches can serve more than its cold capacity.
 DRAFT_LOAD = 1.2
 REVIEW_LOAD = 0.85
 FAULT_UNIX_S = 20.0
@@ -25,7 +25,7 @@
 def run(
     kind: str, variant_name: str, daemons: int, servers: int, seconds: float, seed: int
 ) -> dict[str, Any]:
-    """Measure one way at one size."""
+    """Measure one variant at one region size."""
     variant = VARIANTS[variant_name]
     traffic, spec, per_s = _load(kind, daemons, servers)
     region = FakeRegion(Clock(), spec, variant, seed, traffic.pool)
@@ -45,7 +45,7 @@
 
 
 def run_fault(variant_name: str, fault: str, seed: int) -> dict[str, Any]:
-    """Measure what a dead or frozen daemon costs the callers of all others."""
+    """Measure how a dead or frozen daemon affects the callers of the other daemons."""
     traffic, spec, per_s = _load("review", 6, 9)
     region = FakeRegion(Clock(), spec, VARIANTS[variant_name], seed, traffic.pool)
     region.feed(Source(traffic, seed, region.name), lambda _: 0.7 * per_s, 40.0)
@@ -81,7 +81,7 @@
     )
     if kind == "draft":
         return traffic, spec, DRAFT_LOAD * cold_per_s
-    # The system prompt is cached everywhere, so that much of the prefill never comes.
+    # The system prompt is cached on every engine, so that its prefill is not repeated.
     cached = traffic.system_tokens / traffic.prompt_tokens_mean
     return traffic, spec, REVIEW_LOAD * cold_per_s / (1.0 - cached)
 
@@ -97,5 +97,5 @@
 
 
 def _messages(region: FakeRegion) -> int:
-    """Count requests to servers, forwards with their answers, heartbeats and polls."""
+    """Return the count of placements, forwards with their answers, heartbeats and polls."""
     return region.placements + 2 * region.forwards + region.exchange.messages
--- a/bench/decisions/sizes.py
+++ b/bench/decisions/sizes.py
@@ -1,4 +1,4 @@
-"""Traffic and region sizes that the measurements share."""
+"""Traffic and region sizes shared by the measurements."""
 
 from attrs import evolve
 
@@ -43,11 +43,11 @@
 TRIAL_REVIEW = evolve(REVIEW, class_name="trial review", rank=Rank.TRIAL, deadline_s=60.0)
 TRIAL_QUERY = evolve(QUERY, class_name="trial query", rank=Rank.TRIAL, first_token_target_s=5.0)
 
-# The sizes of today: about two entry VMs a region.
+# Sizes of the deployments, with about two entry VMs per region.
 RONDINELLA = RegionSpec(daemons=2, servers=5, step_s=0.003)
 VASKTORU = RegionSpec(daemons=2, servers=9, step_s=0.005)
 
 
 def groups_for(servers: int) -> int:
-    """Return how many groups keep the caches as short of room as today's do."""
+    """Return the number of prefix groups that keeps cache pressure equal for this many servers."""
     return max(1, 12 * servers)
--- a/bench/fakes/__init__.py
+++ b/bench/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Small in-memory fakes that drive the pure decision logic."""
+"""In-memory fakes that drive the decision logic."""
--- a/bench/fakes/clock.py
+++ b/bench/fakes/clock.py
@@ -1,4 +1,4 @@
-"""One clock with an event heap."""
+"""Simulated clock with an event heap."""
 
 import heapq
 import itertools
@@ -6,7 +6,7 @@
 
 
 class Clock:
-    """Run events in the order of their times."""
+    """Clock that runs scheduled events in order of time."""
 
     def __init__(self) -> None:
         self.now_unix_s = 0.0
@@ -14,15 +14,15 @@
         self._serial = itertools.count()
 
     def at(self, unix_s: float, event: Callable[[], None]) -> None:
-        """Run an event at a time, or now if that has passed."""
+        """Schedule an event at a time, or now if the time has passed."""
         heapq.heappush(self._events, (max(unix_s, self.now_unix_s), next(self._serial), event))
 
     def after(self, delay_s: float, event: Callable[[], None]) -> None:
-        """Run an event after a delay."""
+        """Schedule an event after a delay."""
         self.at(self.now_unix_s + delay_s, event)
 
     def every(self, period_s: float, first_unix_s: float, event: Callable[[], None]) -> None:
-        """Run an event again and again."""
+        """Schedule a periodic event."""
 
         def tick() -> None:
             event()
@@ -31,7 +31,7 @@
         self.at(first_unix_s, tick)
 
     def run_until(self, end_unix_s: float) -> None:
-        """Run the events up to a time."""
+        """Run all events up to a time and advance the clock to it."""
         while self._events and self._events[0][0] <= end_unix_s:
             self.now_unix_s, _, event = heapq.heappop(self._events)
             event()
--- a/bench/fakes/daemon.py
+++ b/bench/fakes/daemon.py
@@ -1,4 +1,4 @@
-"""One entry VM's decision state, without any I/O."""
+"""Decision state of one entry VM, without I/O."""
 
 from collections.abc import Callable, Iterable, Mapping
 from random import Random
@@ -13,7 +13,7 @@
 
 @define(kw_only=True, eq=False)
 class FakeDaemon:
-    """Hold what one entry VM knows."""
+    """Decision state of one simulated entry VM."""
 
     name: str
     region: str
@@ -21,28 +21,28 @@
     random: Random
     servers: list[BackendServer]
     due: DueFunction | None = None
-    # Servers this daemon may use; all but in the subset way.
+    # Servers this daemon may use: all servers, except in the subset variants.
     excluded: frozenset[str] = frozenset()
-    # Servers whose requests another daemon dispatches; used in the owner way only.
+    # Servers whose requests another daemon dispatches; set only in dispatch by owner.
     not_owned: frozenset[str] = frozenset()
     table: LoadTable = field(init=False)
     queue: WorkQueue = field(init=False)
     is_running: bool = True
-    # Peers still count on this daemon.
+    # Whether the peers consider this daemon to be running.
     is_listed: bool = True
-    # What arrived while it didn't work.
+    # Events that arrived while the daemon was stopped.
     inbox: list[Callable[[], None]] = field(factory=list)
     turn: int = 0
     arrivals: dict[str, Arrival] = field(factory=dict)
     peer_counts: dict[str, Mapping[str, InFlight]] = field(factory=dict)
-    # Reports polled since the last heartbeat, which passes them on.
+    # Reports polled since the last heartbeat, to be sent with the next one.
     fresh_reports: list[LoadReport] = field(factory=list)
-    # What VMs of the same row told, to be passed on along the column.
+    # Updates from VMs of the same grid row, to be sent along the column.
     row_reports: list[LoadReport] = field(factory=list)
     row_waiting: dict[str, tuple[int, ...]] = field(factory=dict)
 
     def reset(self, servers: Iterable[BackendServer]) -> None:
-        """Forget everything, as a replaced VM."""
+        """Reset all state, as after a replacement of the VM."""
         self.table = LoadTable(self.region)
         self.table.set_servers(servers)
         self.queue = WorkQueue(self.pool, self.due)
@@ -51,14 +51,14 @@
         self.is_running = self.is_listed = True
 
     def run(self, event: Callable[[], None]) -> None:
-        """Run an event now, or when the daemon works again."""
+        """Run an event now, or once the daemon is running again."""
         if self.is_running:
             event()
         else:
             self.inbox.append(event)
 
     def exchanged_requests(self, server: str) -> int:
-        """Count a server's requests in flight from here and, as last heard, from the peers."""
+        """Return a server's requests in flight, as known here and last received from the peers."""
         own = self.table.in_flight().get(server, InFlight()).requests
         return own + sum(c[server].requests for c in self.peer_counts.values() if server in c)
 
--- a/bench/fakes/engine.py
+++ b/bench/fakes/engine.py
@@ -1,4 +1,4 @@
-"""A fake engine: slots, one prefill pipe, a prefix cache, lagging reports."""
+"""Fake engine with slots, sequential prefill, a prefix cache and delayed load reports."""
 
 import heapq
 import itertools
@@ -15,7 +15,7 @@
 
 @define(kw_only=True, eq=False)
 class Job:
-    """Hold one request on an engine."""
+    """One request on an engine."""
 
     work: Work
     output_tokens: int
@@ -30,7 +30,7 @@
 
 @define(kw_only=True, eq=False)
 class FakeEngine:
-    """Prefill in order of start, decode one token a step, evict the least recently used block."""
+    """Engine with sequential prefill, one decoded token per step and an LRU prefix cache."""
 
     clock: Clock
     server: BackendServer
@@ -57,13 +57,13 @@
         self.clock.every(self.report_lag_s / 2, self.clock.now_unix_s, self.measure)
 
     def submit(self, job: Job) -> None:
-        """Queue a job by priority, then arrival."""
+        """Queue a job by priority, then by order of arrival."""
         job.submitted_unix_s = self.clock.now_unix_s
         heapq.heappush(self._waiting, (job.priority, next(self._serial), job))
         self._start_waiting()
 
     def crash(self) -> None:
-        """Go down: running and waiting jobs end nowhere and the cache is lost."""
+        """Stop the engine, dropping its running and waiting jobs and its cache."""
         self.is_up = False
         self.running.clear()
         self._waiting.clear()
@@ -72,16 +72,16 @@
         self._kv_tokens = 0
 
     def come_back(self) -> None:
-        """Come up with a cold cache."""
+        """Start again with a cold cache."""
         self.is_up = True
         self._pipe_free_unix_s = self.clock.now_unix_s
 
     def share_sets(self, seen: set[int]) -> None:
-        """Count a block as seen once any engine has computed it."""
+        """Share the set of computed blocks, so that it covers all engines of the region."""
         self._seen = seen
 
     def measure(self) -> None:
-        """Measure the load; the report is published once it is as old as the lag."""
+        """Measure the load; `report` returns it after the report lag."""
         if not self.is_up:
             return
         now = self.clock.now_unix_s
@@ -99,7 +99,7 @@
         )
 
     def report(self) -> LoadReport | None:
-        """Return the newest measurement that is at least as old as the lag."""
+        """Return the newest measurement that is at least as old as the report lag."""
         newest_unix_s = self.clock.now_unix_s - self.report_lag_s
         while len(self._reports) > 1 and self._reports[1].measured_unix_s <= newest_unix_s:
             self._reports.popleft()
@@ -108,7 +108,7 @@
         return None
 
     def events_for(self, reader: str) -> Iterator[tuple[str, int]]:
-        """Return the cache events that are as old as the lag and new to a reader."""
+        """Return the cache events at least as old as the report lag that are new to a reader."""
         newest_unix_s = self.clock.now_unix_s - self.report_lag_s
         index = self._read_up_to.get(reader, 0)
         while index < len(self._events) and self._events[index][0] <= newest_unix_s:
@@ -118,12 +118,12 @@
 
     @property
     def waiting(self) -> int:
-        """Count the jobs that haven't started."""
+        """Return the number of jobs that have not started."""
         return len(self._waiting)
 
     @property
     def idle_slots(self) -> int:
-        """Count the slots that no job holds."""
+        """Return the number of free slots."""
         return self.server.slots - len(self.running) if self.is_up else 0
 
     def _start_waiting(self) -> None:
--- a/bench/fakes/exchange.py
+++ b/bench/fakes/exchange.py
@@ -1,4 +1,4 @@
-"""What the daemons of a region tell each other: neighbours of the peers' grid, as in the field."""
+"""State exchange between the daemons of a region, along the rows and columns of the peers' grid."""
 
 from collections.abc import Mapping, Sequence
 from functools import partial
@@ -19,7 +19,7 @@
 
 
 class Exchange:
-    """Send heartbeats and poll reports for one region."""
+    """Heartbeats and report polling of one region."""
 
     def __init__(self, region: "FakeRegion") -> None:
         self.messages = 0
--- a/bench/fakes/fleet.py
+++ b/bench/fakes/fleet.py
@@ -1,4 +1,4 @@
-"""Three regions whose daemons choose the region as well."""
+"""Three regions whose daemons also choose the region."""
 
 from collections.abc import Callable, Mapping
 from functools import partial
@@ -23,9 +23,9 @@
 
 ONE_WAY_S = 0.055
 REGION_UPDATE_EVERY_S = 1.0
-# A forward that gets no answer is tried elsewhere after this.
+# A forward without an answer is retried in another region after this time.
 SILENT_FORWARD_S = 1.5
-# A region unheard for longer counts as lost when it is heard again.
+# A region is treated as returned from a loss after a longer gap between its updates.
 LOST_AFTER_S = 5.0
 
 ChooseRegion = Callable[
@@ -35,7 +35,7 @@
 
 @frozen(kw_only=True)
 class FleetSpec:
-    """Give the regions' names and sizes."""
+    """Names and sizes of the regions, and each class's largest share outside its home region."""
 
     names: tuple[str, ...] = ("Milan", "Turin", "Bologna")
     region: RegionSpec = RegionSpec()
@@ -44,7 +44,7 @@
 
 
 class FakeFleet:
-    """Let arrivals choose a region, then run them there."""
+    """Fleet that chooses a region for each arrival and runs it there."""
 
     def __init__(
         self, spec: FleetSpec, variant: Variant, choose: ChooseRegion, seed: int, pool: str
@@ -65,7 +65,7 @@
         self.records: list[Record] = []
         self.unserved = 0
         self.probe: Work | None = None
-        # What each region has heard of the others.
+        # Loads by receiving region and reported region.
         self._received_loads: dict[tuple[str, str], RegionLoad] = {}
         for region in self.regions.values():
             region.admits = True
@@ -74,7 +74,7 @@
             )
 
     def feed(self, source: Source, rate_per_s: Callable[[float], float], end_unix_s: float) -> None:
-        """Let a class's requests arrive at its home, or elsewhere while that is lost."""
+        """Schedule a class's requests at its home region, or at another while that is lost."""
 
         def arrive() -> None:
             now = self.clock.now_unix_s
@@ -187,7 +187,7 @@
     now_unix_s: float,
     random: Random,
 ) -> RegionChoice:
-    """Stay at home while it is heard; a way to compare with."""
+    """Choose the home region while its load is known, as a baseline."""
     home = {name: load for name, load in loads.items() if name == work.home_region}
     return choose_region(work, own_region, home or loads, share, now_unix_s, random)
 
@@ -200,7 +200,7 @@
     now_unix_s: float,
     random: Random,
 ) -> RegionChoice:
-    """Take the least expected wait, trip counted; a way to compare with."""
+    """Choose the region with the least expected wait plus round trip, as a baseline."""
     fresh = {n: load for n, load in loads.items() if now_unix_s - load.measured_unix_s <= 5.0}
     waits_s = {name: load.expected_wait_s + load.round_trip_s for name, load in fresh.items()}
     least = min(waits_s, key=lambda name: waits_s[name])
--- a/bench/fakes/record.py
+++ b/bench/fakes/record.py
@@ -1,4 +1,4 @@
-"""What became of one request."""
+"""Result of one request."""
 
 from attrs import define
 
@@ -8,7 +8,7 @@
 
 @define(kw_only=True, eq=False)
 class Record:
-    """Hold the times of one request."""
+    """Times and result of one request."""
 
     work: Work
     first_token_unix_s: float | None = None
@@ -16,18 +16,18 @@
     cached_tokens: int = 0
     refusal: Refusal | None = None
     served_in: str | None = None
-    # The daemon that the caller reached.
+    # The daemon that received the request from the caller.
     entry: str | None = None
 
     @property
     def first_token_s(self) -> float:
-        """Return the seconds to the first token, endless if none came."""
+        """Return the time to the first token, infinite if there was none."""
         if self.first_token_unix_s is None:
             return float("inf")
         return self.first_token_unix_s - self.work.accepted_unix_s
 
     @property
     def met_target(self) -> bool:
-        """Say whether the first token came in time."""
+        """Return whether the first token met its target."""
         first_unix_s = self.first_token_unix_s
         return first_unix_s is not None and first_unix_s <= self.work.first_token_due_unix_s
--- a/bench/fakes/region.py
+++ b/bench/fakes/region.py
@@ -1,4 +1,4 @@
-"""One region: daemons that place requests on fake engines."""
+"""Simulated region of daemons that place requests on fake engines."""
 
 from collections.abc import Callable, Sequence
 from random import Random
@@ -25,7 +25,7 @@
 
 @frozen(kw_only=True)
 class RegionSpec:
-    """Give a region's sizes and times."""
+    """Sizes and times of a region."""
 
     daemons: int = 2
     servers: int = 5
@@ -38,13 +38,13 @@
     report_every_s: float = 1.0
     heartbeat_s: float = 1.0
     hop_s: float = 0.001
-    # From a VM's death or freeze until its peers stop counting on it.
+    # Time from a daemon's crash or freeze until its peers consider it failed.
     detect_s: float = 3.5
     event_loss_every: int = 50
 
 
 class FakeRegion:
-    """Wire daemons, engines, heartbeats and reports to one clock."""
+    """Region whose daemons, engines, heartbeats and reports share one clock."""
 
     def __init__(
         self,
@@ -60,11 +60,11 @@
         self.records: list[Record] = []
         self._record_by_id: dict[str, Record] = {}
         self.forwards = 0
-        # Forwards that met a silent owner.
+        # Forwards to an owner that did not answer.
         self.stuck_forwards = 0
-        # Trial requests that were placed at a daemon where paying work waited.
+        # Trial requests that were placed by a daemon while paying work was waiting there.
         self.paying_passed_by_trial = 0
-        # Admission refuses what can't finish by its deadline or finds the queue full.
+        # Whether admission refuses work that cannot finish by its deadline or meets a full queue.
         self.admits = False
         self.refused_late = 0
         self.is_lost = False
@@ -80,10 +80,10 @@
         self.exchange = Exchange(self)
         self.exchange.start()
 
-    # How arrivals come in
+    # Arrivals
 
     def feed(self, source: Source, rate_per_s: Callable[[float], float], end_unix_s: float) -> None:
-        """Let a class's requests arrive at random daemons."""
+        """Schedule a class's requests at random daemons."""
 
         def arrive() -> None:
             now = self.clock.now_unix_s
@@ -95,14 +95,14 @@
         self.clock.after(source.gap_s(rate_per_s(self.now)), arrive)
 
     def receive(self, arrival: Arrival) -> Record:
-        """Let a caller reach a daemon that works; callers move on from a dead one."""
+        """Receive a request from a caller, at a running daemon because callers skip a dead one."""
         record = Record(work=arrival.work)
         self.records.append(record)
         self.serve(record, arrival)
         return record
 
     def serve(self, record: Record, arrival: Arrival) -> None:
-        """Run a request that arrived here or was sent here by another region."""
+        """Run a request from a caller or from another region."""
         self._record_by_id[arrival.work.request_id] = record
         record.served_in = self.name
         working = [d for d in self.daemons if d.is_running]
@@ -111,7 +111,7 @@
 
     @property
     def now(self) -> float:
-        """Return the clock's time."""
+        """Return the current simulated time."""
         return self.clock.now_unix_s
 
     def _accept(self, daemon: FakeDaemon, arrival: Arrival) -> None:
@@ -146,14 +146,14 @@
         self.on_refused(daemon.arrivals.pop(work.request_id), refusal)
 
     def refuse_expired(self, daemon: FakeDaemon) -> None:
-        """Refuse what waits and can no longer finish."""
+        """Refuse waiting work that can no longer finish by its deadline."""
         hold_s = daemon.table.service_times(self.pool).hold_s
         for work in daemon.queue.expired(self.now, lambda _: hold_s):
             refusal = Refusal(
                 kind=ErrorKind.DEADLINE_PASSED,
                 run=RunStatus.NO,
                 detail="it can no longer finish by its deadline",
-                remedy="come back at Retry-After",
+                remedy="retry at the time given by Retry-After",
                 retry_at_unix_s=daemon.queue.retry_at_unix_s(
                     work.rank, hold_s, self.now, daemon.random
                 ),
@@ -162,7 +162,7 @@
             self._refuse(daemon, work, refusal)
 
     def place_waiting(self, daemon: FakeDaemon) -> None:
-        """Place waiting work while there is room."""
+        """Place waiting work while servers have capacity."""
         while daemon.is_running and self._place_next(daemon):
             pass
 
@@ -235,7 +235,7 @@
 
         daemon.run(take)
 
-    # Dispatch by owner: the one hop is spent inside the region
+    # Dispatch by owner: a request is forwarded once, inside the region
 
     def _send_to_owner(self, entry: FakeDaemon, arrival: Arrival) -> None:
         work = arrival.work
@@ -248,7 +248,7 @@
         del entry.arrivals[work.request_id]
         entry.table.prefixes.observe_placement(server, work.prefix_hashes)
         self.forwards += 1
-        # Until the owner's heartbeat counts it, the entry counts what it sent there itself.
+        # The entry counts the forwarded request itself until the owner's heartbeat includes it.
         mark = f"sent {work.request_id}"
         entry.table.charge(mark, server, work.prompt_tokens, self.now)
         self.clock.after(self.spec.heartbeat_s, lambda: entry.table.release(mark, self.now))
@@ -263,7 +263,7 @@
         self.place_waiting(owner)
 
     def _resend_later(self, entry: FakeDaemon, arrival: Arrival) -> None:
-        """Hold a request whose owner is silent until the peers know that it is."""
+        """Resend a request once the peers have detected the failure of its owner."""
         self.stuck_forwards += 1
 
         def resend() -> None:
@@ -285,7 +285,7 @@
     # Faults
 
     def stop(self, daemon: FakeDaemon, frozen_s: float | None = None) -> None:
-        """Kill a daemon, or freeze it for a while; peers notice later."""
+        """Kill a daemon, or freeze it for a time; peers detect this after `detect_s`."""
         daemon.is_running = False
         self.clock.after(self.spec.detect_s, lambda: self._detect_failure(daemon))
         if frozen_s is not None:
@@ -302,7 +302,7 @@
         self._assign_owners()
 
     def lose(self) -> None:
-        """Lose every engine and daemon of the region with all they hold."""
+        """Stop all engines and daemons of the region, dropping their state."""
         self.is_lost = True
         for engine in self.engines.values():
             engine.crash()
@@ -311,7 +311,7 @@
             daemon.inbox.clear()
 
     def come_back(self) -> None:
-        """Come back with new daemons, which know nothing, and cold caches."""
+        """Restart the region with reset daemons and cold caches."""
         self.is_lost = False
         for engine in self.engines.values():
             engine.come_back()
@@ -331,7 +331,7 @@
     def _uses_affinity(self) -> bool:
         return self.variant.uses_prefixes
 
-    # How it is built
+    # Construction
 
     def _server(self, number: int) -> BackendServer:
         return BackendServer(
@@ -376,7 +376,7 @@
 def feed_at_load(
     region: FakeRegion, traffic: Traffic, load: float, seed: int, end_s: float
 ) -> None:
-    """Feed one class at a share of the region's cold capacity."""
+    """Schedule one class's requests at a share of the region's cold capacity."""
     spec = region.spec
     per_engine = traffic.cold_capacity_per_s(spec.slots, spec.step_s, spec.prefill_tokens_per_s)
     rate_per_s = load * per_engine * spec.servers
--- a/bench/fakes/traffic.py
+++ b/bench/fakes/traffic.py
@@ -1,4 +1,4 @@
-"""Arrivals of requests with repeated prompt prefixes."""
+"""Generated requests with repeated prompt prefixes."""
 
 import bisect
 import itertools
@@ -15,15 +15,15 @@
 
 @frozen(kw_only=True)
 class Traffic:
-    """Describe one class's requests."""
+    """Parameters of one class's requests."""
 
     class_name: str
     pool: str
     rank: Rank = Rank.PAYING
     account: str = "shops"
-    # Tokens every prompt of the class starts with.
+    # Length of the prefix that all prompts of the class share.
     system_tokens: int = 256
-    # Prompts share the longer prefix of their group, for instance a repository.
+    # Prompts of a group share a longer prefix, for instance a repository.
     groups: int = 60
     group_tokens: int = 4_096
     own_tokens_mean: float = 1_000.0
@@ -35,11 +35,11 @@
 
     @property
     def prompt_tokens_mean(self) -> float:
-        """Return the mean prompt."""
+        """Return the mean prompt length."""
         return self.system_tokens + self.group_tokens + self.own_tokens_mean
 
     def cold_capacity_per_s(self, slots: int, step_s: float, prefill_tokens_per_s: float) -> float:
-        """Return the requests a second that one engine runs with a cold cache."""
+        """Return the requests per second that one engine can run with a cold cache."""
         prefill_s = self.prompt_tokens_mean / prefill_tokens_per_s
         hold_s = prefill_s + self.output_tokens_mean * step_s
         return min(1.0 / prefill_s, slots / hold_s)
@@ -47,28 +47,28 @@
 
 @frozen(kw_only=True)
 class Arrival:
-    """Hold one request as a caller sends it."""
+    """One request as a caller sends it."""
 
     work: Work
     output_tokens: int
 
 
 class Source:
-    """Draw one class's requests from a seed."""
+    """Seeded generator of one class's requests."""
 
     def __init__(self, traffic: Traffic, seed: int, home_region: str = "home") -> None:
         self.traffic = traffic
         self.home_region = home_region
         self._random = Random(f"{seed}/{traffic.class_name}/{home_region}")
         self._serial = itertools.count()
-        # Python's own hash of a string differs from process to process.
+        # Python's built-in hash of a string differs between processes.
         self._class_hash = xxhash.xxh32_intdigest(traffic.class_name.encode())
         self._region_hash = xxhash.xxh32_intdigest(home_region.encode())
         weights = [1.0 / (rank + 1) ** 0.8 for rank in range(max(1, traffic.groups))]
         self._cumulative = list(itertools.accumulate(weights))
 
     def draw(self, now_unix_s: float) -> Arrival:
-        """Draw the next request."""
+        """Generate the next request."""
         traffic, random = self.traffic, self._random
         number = next(self._serial)
         own_tokens = round(random.lognormvariate(0.0, 0.8) * traffic.own_tokens_mean / 1.377)
@@ -95,7 +95,7 @@
         return Arrival(work=work, output_tokens=output_tokens)
 
     def gap_s(self, rate_per_s: float) -> float:
-        """Draw the time to the next request."""
+        """Generate the time to the next request."""
         return self._random.expovariate(rate_per_s)
 
     def _blocks(self, group: int, number: int, prompt_tokens: int) -> Iterator[int]:
--- a/bench/fakes/ways.py
+++ b/bench/fakes/ways.py
@@ -1,4 +1,4 @@
-"""Ways to choose a server, the shipped one among them."""
+"""Variants of server choice and dispatch, including the gateway's own."""
 
 from attrs import frozen
 
@@ -10,30 +10,30 @@
 
 @frozen(kw_only=True)
 class Variant:
-    """Name a way and say what it needs."""
+    """A variant of server choice and dispatch, and the mechanisms that it uses."""
 
     name: str
     pick: Pick
-    # Waiting work stays at the daemon while no server has room.
+    # Work waits at the daemon while no server has capacity.
     has_queue: bool = False
-    # Entries send to the one daemon that dispatches to a server.
+    # Entry VMs forward to the only daemon that dispatches to a server.
     has_owner: bool = False
     subset: int | None = None
-    # Orders the queue; None orders it as shipped.
+    # Order of the queue; None for the gateway's own.
     due: DueFunction | None = None
     uses_prefixes: bool = False
-    # Waiting work whose prefix the free server holds may pass others.
+    # Waiting work whose prefix is cached on the free server may overtake other work.
     looks_ahead: bool = False
     exchanges: bool = True
 
 
 def pick_random(daemon: FakeDaemon, work: Work, now_unix_s: float) -> str:
-    """Pick any server."""
+    """Pick a random server."""
     return daemon.random.choice(daemon.servers).name
 
 
 def pick_in_turn(daemon: FakeDaemon, work: Work, now_unix_s: float) -> str:
-    """Pick the next server."""
+    """Pick the servers in turn."""
     daemon.turn += 1
     return daemon.servers[daemon.turn % len(daemon.servers)].name
 
@@ -44,30 +44,30 @@
 
 
 def pick_two_choices_own(daemon: FakeDaemon, work: Work, now_unix_s: float) -> str:
-    """Pick the one of two random servers with fewer own requests."""
+    """Pick from two random servers the one with fewer requests from this daemon."""
     counts = daemon.table.in_flight()
     two = _shuffled(daemon)[:2]
     return min(two, key=lambda s: counts[s.name].requests if s.name in counts else 0).name
 
 
 def pick_two_choices_exchanged(daemon: FakeDaemon, work: Work, now_unix_s: float) -> str:
-    """Pick the one of two random servers with fewer own and peers' requests."""
+    """Pick from two random servers the one with fewer requests from this daemon and its peers."""
     return min(_shuffled(daemon)[:2], key=lambda s: daemon.exchanged_requests(s.name)).name
 
 
 def pick_least_exchanged(daemon: FakeDaemon, work: Work, now_unix_s: float) -> str:
-    """Pick the server with the fewest own and peers' requests."""
+    """Pick the server with the fewest requests from this daemon and its peers."""
     return min(_shuffled(daemon), key=lambda s: daemon.exchanged_requests(s.name)).name
 
 
 def pick_shipped(daemon: FakeDaemon, work: Work, now_unix_s: float) -> str | None:
-    """Pick as the gateway does."""
+    """Pick with the gateway's own server choice."""
     placement = choose_server(daemon.table, work, now_unix_s, daemon.random, daemon.excluded)
     return placement.server.name if placement else None
 
 
 def pick_by_owner(daemon: FakeDaemon, work: Work, now_unix_s: float) -> str | None:
-    """Pick among the servers that this daemon dispatches to, or any while it only forwards."""
+    """Pick from the servers that this daemon owns, or from all when it only forwards."""
     is_queued = work.request_id in daemon.arrivals and daemon.queue.holds(work.request_id)
     excluded = daemon.not_owned if is_queued else frozenset()
     placement = choose_server(daemon.table, work, now_unix_s, daemon.random, excluded)
@@ -112,7 +112,7 @@
 
 
 def subset(servers: int) -> Variant:
-    """Return the shipped way over a rendezvous subset of the servers for each daemon."""
+    """Return the gateway's variant limited to a rendezvous subset of servers per daemon."""
     return Variant(
         name=f"subset of {servers}",
         pick=pick_shipped,
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -1,4 +1,4 @@
-"""Plan the faults of the scenarios."""
+"""Faults that the scenarios inject."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -9,14 +9,14 @@
 from bench.traffic import Arrival
 from harness.fleet import Fleet
 
-# Faults begin after a third of the time, so that the load stands.
+# Faults begin after about a third of the time, once the load has reached its level.
 FAULT_AFTER_SHARE = 0.3
 FAULT_LASTS_SHARE = 0.4
 Fault = Callable[[Bench, float], Awaitable[None]]
 
 
 def planned(fault: Fault, bench: Bench, duration_s: float) -> FaultStarter:
-    """Return the fault, to start once the load stands."""
+    """Return the fault, to start once the load has reached its level."""
 
     async def run() -> None:
         await asyncio.sleep(duration_s * FAULT_AFTER_SHARE)
@@ -42,7 +42,7 @@
 
 
 async def stale_platform(bench: Bench, lasts_s: float) -> None:
-    """Let the platform repeat what it said before, while an operator publishes."""
+    """Let the platform keep returning its earlier state for a time."""
     await bench.fleet.platform_mode("stale")
     await asyncio.sleep(lasts_s)
     await bench.fleet.platform_mode("up")
@@ -56,7 +56,7 @@
 
 
 def region_lost(fleet: Fleet, lost: str, lost_at_s: float, healed_at_s: float) -> FaultStarter:
-    """Return a fault that takes a region away from callers, peers and platform, and heals it."""
+    """Return a fault that cuts a region off from callers, peers and platform, and reconnects it."""
 
     async def run() -> None:
         await asyncio.sleep(lost_at_s)
@@ -73,5 +73,5 @@
 
 
 def delayed(arrival: Arrival, by_s: float) -> Arrival:
-    """Return the same request at a later time."""
+    """Return the request shifted to a later time."""
     return evolve(arrival, at_s=arrival.at_s + by_s)
--- a/bench/losses.py
+++ b/bench/losses.py
@@ -13,14 +13,14 @@
 from attrs import define, field
 
 PLACED, ATTEMPT_ENDED, ENDED = "relay placed", "relay attempt ended", "relay ended"
-# Details name addresses and ids behind their first words.
+# Cuts off the addresses and ids at the end of a detail, so that equal causes are counted together.
 DETAIL_CHARS = 40
 ON_TIME = "on time"
 
 
 @define(kw_only=True)
 class Request:
-    """Hold what the lines of one request say."""
+    """One request, as described by its log lines."""
 
     started_unix_s: float = 0.0
     route: str = ""
@@ -52,7 +52,7 @@
             self.first_answers_s[key].append(request.first_answer_s)
 
     def rows(self) -> Iterator[str]:
-        """Return the table, what was on time left out."""
+        """Return the lines of the table, without the requests that were on time."""
         yield f"{'from s':>7} {'route':<12} {'requests':>8} {'expected':>9} {'got':>6}  cause"
         for key in sorted(each for each in self.counts if each[2] != ON_TIME):
             window, route, cause = key
@@ -62,7 +62,7 @@
 
 
 def read_lines(lines: Iterable[str]) -> Iterator[dict[str, Any]]:
-    """Return the JSON objects of log lines; what stands before one on its line is left aside."""
+    """Return the JSON objects of log lines, ignoring any text before them on a line."""
     for line in lines:
         start = line.find("{")
         if start < 0:
@@ -70,12 +70,12 @@
         try:
             yield json.loads(line[start:])
         except ValueError:
-            # A table of other output among the lines.
+            # Other output with a brace, such as a table.
             continue
 
 
 def read_requests(lines: Iterable[str]) -> list[Request]:
-    """Return the requests that ended at the VM that took them."""
+    """Return the ended requests, each as logged by the VM that received it from the caller."""
     expected_s: dict[tuple[str, str], float] = {}
     ended = []
     for event in read_lines(lines):
@@ -111,7 +111,7 @@
 
 
 def main() -> None:
-    """Print the table of a log file, or of standard input."""
+    """Print the table for a log file or standard input."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("log", nargs="?", type=Path, help="file with the daemons' lines")
     parser.add_argument("--window-s", type=float, default=2.0)
--- a/bench/measures.py
+++ b/bench/measures.py
@@ -1,4 +1,4 @@
-"""Work figures out of what callers saw and what the backend servers logged."""
+"""Compute figures from the callers' records and the backend servers' logs."""
 
 import math
 from collections import defaultdict
@@ -14,7 +14,7 @@
 from pomelobarrow.standin.load_results import Outcome
 
 PERCENTILES = (50, 95, 99)
-# Shorter waits are the way to the engine and the loops of the processes on it.
+# Shorter waits are network and event-loop delays on the path to the engine.
 NOTICED_WAIT_S = 0.1
 BIN_S = 1.0
 MS_DIGITS = 4
@@ -22,7 +22,7 @@
 
 @frozen(kw_only=True)
 class EngineRun:
-    """Hold one engine run; times are seconds since the scenario's start."""
+    """One run on an engine; times are seconds since the scenario's start."""
 
     arrival: Arrival
     server: str
@@ -37,7 +37,7 @@
 
 @frozen(kw_only=True)
 class Observed:
-    """Hold what one scenario left behind."""
+    """The records and engine runs of one scenario under one policy."""
 
     traffic: DeploymentTraffic
     name: str
@@ -67,20 +67,20 @@
             output_tokens=run["output_tokens"],
         )
         for run in raw
-        # The same requests ran in an earlier scenario where two are compared.
+        # Scenarios that are compared send the same requests; runs of an earlier one are left out.
         if run["marker"] in arrivals and (run["started_unix_s"] or 0.0) >= started_unix_s
     ]
 
 
 def percentile(values: Sequence[float], percent: int) -> float | None:
-    """Return the nearest-rank percentile; None of no values."""
+    """Return the nearest-rank percentile, or None without values."""
     if not values:
         return None
     return round(sorted(values)[math.ceil(len(values) * percent / 100) - 1], MS_DIGITS)
 
 
 def met_target(traffic: DeploymentTraffic, record: Record) -> bool:
-    """Say whether the first try was answered within the class's targets."""
+    """Return whether the first try was answered within the class's targets."""
     target = traffic.deployment.classes[record.arrival.class_name]
     first = record.tries[0]
     return (
@@ -154,7 +154,7 @@
 
 
 def repeated_runs(runs: Iterable[EngineRun]) -> set[str]:
-    """Return the markers of prompts whose document the region had read before."""
+    """Return the markers of prompts whose document was prefilled in the region before."""
     seen: set[tuple[str, str, int]] = set()
     repeated: set[str] = set()
     for run in sorted(runs, key=lambda each: each.started_s):
@@ -172,7 +172,7 @@
 
 
 def paying_waits(observed: Observed) -> dict[str, int]:
-    """Count the paying requests that waited while trial work ran or even began."""
+    """Count the paying requests that waited while trial work was running or was started."""
     trial: defaultdict[str, list[EngineRun]] = defaultdict(list)
     for run in observed.runs:
         if run.arrival.rank == TRIAL_ACCOUNT:
@@ -196,7 +196,7 @@
 def occupancy(
     observed: Observed, engines: Iterable[str], since_s: float, until_s: float
 ) -> dict[str, float]:
-    """Return the share of time that engines were idle, and of slots that were filled."""
+    """Return the shares of idle engine time and of occupied slot time."""
     names = tuple(engines)
     window_s = until_s - since_s
     spans: defaultdict[str, list[tuple[float, float]]] = defaultdict(list)
@@ -223,7 +223,7 @@
 def longest_miss_s(
     traffic: DeploymentTraffic, records: Iterable[Record], since_s: float, until_s: float
 ) -> float:
-    """Return the longest run of seconds in which a request sent missed its target."""
+    """Return the longest run of seconds in which any request sent missed its target."""
     missed: defaultdict[int, bool] = defaultdict(bool)
     for record in records:
         if since_s <= record.arrival.at_s < until_s:
@@ -231,7 +231,7 @@
             missed[index] = missed[index] or not met_target(traffic, record)
     longest = current = 0
     for index in range(math.ceil((until_s - since_s) / BIN_S)):
-        # A second in which nothing was sent says nothing: the run goes on if it had begun.
+        # A second without requests extends a run that has begun, but begins none.
         if index in missed:
             current = current + 1 if missed[index] else 0
         elif current:
@@ -241,7 +241,7 @@
 
 
 def goodput_per_s(observed: Observed) -> float:
-    """Return the weight of the requests answered in time, a second."""
+    """Return the total weight of the requests answered in time per second."""
     weight = sum(
         observed.traffic.class_named(record.arrival.class_name).weight
         for record in observed.records
@@ -251,13 +251,13 @@
 
 
 def second_tries(records: Iterable[Record], since_s: float) -> dict[str, int]:
-    """Count the refused callers who came back after a time, and those then answered."""
+    """Count the second tries sent from a time on, and those that were answered."""
     seconds = [r.tries[1] for r in records if len(r.tries) > 1 and r.tries[1].sent_s >= since_s]
     return {"made": len(seconds), "answered": _count(seconds, Outcome.ANSWERED)}
 
 
 def most_in_window(times_s: Sequence[float], window_s: float) -> int:
-    """Return the most events in any window of this length."""
+    """Return the largest number of events in any window of this length."""
     ordered = sorted(times_s)
     most = start = 0
     for end, time_s in enumerate(ordered):
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -1,4 +1,4 @@
-"""Measure what a daemon adds: latency, CPU and memory, beside a bare relay in the same run."""
+"""Measure a daemon's latency, CPU and memory overhead beside a bare relay in the same run."""
 
 import argparse
 import asyncio
@@ -33,7 +33,7 @@
 SINGLE_TOKENS = 20
 MS = 1e3
 US = 1e6
-# Seen from run to run the ratios vary by a tenth; past these something was made slower.
+# The ratios vary by a tenth from run to run; larger ones than these indicate a regression.
 LARGEST_RATIOS = {"cpu_per_request": 2.0, "cpu_per_token": 1.3}
 DEPLOYMENT = evolve(
     RONDINELLA,
@@ -49,7 +49,7 @@
 
 @frozen(kw_only=True)
 class Variant:
-    """Name one way to the engine and the processes on it that are measured."""
+    """One path to the engine and the processes on it that are measured."""
 
     name: str
     address: str
@@ -64,7 +64,7 @@
 
 @frozen(kw_only=True)
 class Timing:
-    """Hold one streamed answer's times."""
+    """The times of one streamed answer."""
 
     first_token_s: float
     gaps_s: tuple[float, ...]
@@ -72,7 +72,7 @@
 
 @define(kw_only=True)
 class Samples:
-    """Collect one way's measurements over all rounds."""
+    """The measurements of one variant over all rounds."""
 
     idle_cpu_share: float = 0.0
     first_token_s: list[float] = field(factory=list)
@@ -83,7 +83,7 @@
 
 @frozen(kw_only=True)
 class Figures:
-    """Hold one way's figures."""
+    """The results of one variant; field names are keys of the results file."""
 
     first_token_ms: float
     first_token_p99_ms: float
@@ -115,7 +115,7 @@
             times_s.append(time.perf_counter())
             ended = chunk
     if not ended.endswith(b"data: [DONE]\n\n"):
-        raise RuntimeError(f"{variant.name}: an answer broke off")
+        raise RuntimeError(f"{variant.name}: answer ended without [DONE]")
     gaps_s = (later - earlier for earlier, later in zip(times_s, times_s[1:], strict=False))
     return Timing(first_token_s=times_s[0] - sent_s, gaps_s=tuple(gaps_s))
 
@@ -123,7 +123,7 @@
 async def load(
     session: aiohttp.ClientSession, variant: Variant, requests: int, tokens: int
 ) -> float:
-    """Send requests, a few at a time; return the CPU seconds that this took."""
+    """Send requests, `IN_FLIGHT` at a time, and return the CPU seconds used."""
     left = iter(range(requests))
 
     async def send_next() -> None:
@@ -136,7 +136,7 @@
 
 
 async def measure_round(session: aiohttp.ClientSession, variant: Variant, samples: Samples) -> None:
-    """Take one round of a way's measurements."""
+    """Run one round of a variant's measurements."""
     for _ in range(SINGLE_REQUESTS):
         timing = await send_request(session, variant, SINGLE_TOKENS)
         samples.first_token_s.append(timing.first_token_s)
@@ -158,7 +158,7 @@
 
 
 async def measure_idle(variants: list[Variant], samples: dict[str, Samples]) -> None:
-    """Measure what the processes use while no request is there."""
+    """Measure the CPU that the processes use without requests."""
     before_s = [variant.cpu_s() for variant in variants]
     await asyncio.sleep(IDLE_S)
     for variant, cpu_s in zip(variants, before_s, strict=True):
@@ -166,7 +166,7 @@
 
 
 def figures(samples: Samples) -> Figures:
-    """Return a way's figures: medians over the rounds, and the tails."""
+    """Return a variant's figures: medians over the rounds, and 99th percentiles."""
     return Figures(
         first_token_ms=MS * statistics.median(samples.first_token_s),
         first_token_p99_ms=MS * _percentile(samples.first_token_s, 99),
@@ -183,7 +183,7 @@
 
 
 def ratios(samples: Samples, relay: Samples) -> dict[str, float]:
-    """Return what a way costs beside the relay, as the median of the rounds' ratios."""
+    """Return a variant's CPU relative to the bare relay, as the median of the rounds' ratios."""
     pairs = {
         "cpu_per_request": (samples.cpu_per_request_s, relay.cpu_per_request_s),
         "cpu_per_token": (samples.cpu_per_token_s, relay.cpu_per_token_s),
@@ -199,7 +199,7 @@
 
 
 async def measure() -> dict[str, Any]:
-    """Start everything, measure every way in turn and return the results."""
+    """Start the processes, measure all variants in turn and return the results."""
     async with Fleet(DEPLOYMENT) as fleet, aiohttp.ClientSession() as session:
         engine = fleet.servers["drafting-milan-1"]
         (relay_port,) = free_ports(1)
@@ -263,7 +263,7 @@
 
 
 def missed(results: dict[str, Any]) -> list[str]:
-    """Return the aims that one daemon misses."""
+    """Return the aims that the single daemon misses."""
     ratios_of_one = results["ratios_to_relay"]["one"]
     return [
         f"{name}: {ratios_of_one[name]:.2f}, aim {aim}"
@@ -278,7 +278,7 @@
 
 
 def main() -> int:
-    """Measure, print, and with --check fail where an aim is missed."""
+    """Measure and print the results; with --check, fail if an aim is missed."""
     parser = argparse.ArgumentParser(prog="bench.overhead")
     parser.add_argument("--check", action="store_true", help="fail where an aim is missed")
     parser.add_argument("--write", action="store_true", help="write the results and the page")
--- a/bench/overhead_table.py
+++ b/bench/overhead_table.py
@@ -1,4 +1,4 @@
-"""Write the section on a daemon's overhead into the page of figures."""
+"""Write the section on a daemon's overhead in docs/BENCH.md."""
 
 import re
 from pathlib import Path
@@ -6,7 +6,7 @@
 
 PAGE = Path(__file__).parent.parent / "docs" / "BENCH.md"
 HEADING = "## Overhead of a daemon"
-# From the heading to the next one of its level, or to the end.
+# From the heading to the next one of the same level or the end of the page.
 SECTION = re.compile(rf"^{HEADING}$.*?(?=^## |\Z)", re.MULTILINE | re.DOTALL)
 TITLES = {
     "direct": "direct",
@@ -37,7 +37,7 @@
 
 
 def section(results: dict[str, Any]) -> str:
-    """Return the section as Markdown."""
+    """Return the page section as Markdown."""
     lines = [HEADING, "", TEXT]
     lines.append("| way | " + " | ".join(COLUMNS.values()) + " |")
     lines.append("|---|" + "---:|" * len(COLUMNS))
@@ -62,7 +62,7 @@
 
 
 def write_table(results: dict[str, Any]) -> None:
-    """Replace the section in the page, or add it at the end."""
+    """Replace the section in the page, or append it."""
     page = PAGE.read_text() if PAGE.exists() else "# Measured figures\n\n"
     text = section(results)
     replaced, count = SECTION.subn(lambda _: text + "\n", page)
--- a/bench/profile/__init__.py
+++ b/bench/profile/__init__.py
@@ -1,1 +1,1 @@
-"""Measure what one daemon spends on requests and on control, in fleets of several sizes."""
+"""Measure one daemon's CPU time and memory for requests and state exchange, by fleet size."""
--- a/bench/profile/__main__.py
+++ b/bench/profile/__main__.py
@@ -21,9 +21,9 @@
 from pomelobarrow.published.keyspaces import PublishedState
 
 SIZES = (61, 195, 340)
-# What a VM of a busy deployment gets, and enough to tell its cost from the idle daemon's.
+# Rate at a VM of a busy deployment; high enough to distinguish its cost from the idle daemon's.
 REQUESTS_PER_S = 20.0
-# Until all members have been described to each other, 32 with each heartbeat.
+# Time until all members have described each other, at 32 descriptions per heartbeat.
 SETTLE_S = 14.0
 READY_TIMEOUT_S = 30.0
 STOP_TIMEOUT_S = 15.0
@@ -35,7 +35,7 @@
 
 @frozen(kw_only=True)
 class Phase:
-    """Hold what a daemon used over a while, and how many requests it answered meanwhile."""
+    """A daemon's resource usage over a period and the requests that it answered."""
 
     took_s: float
     used: Usage
@@ -44,28 +44,28 @@
 
     @property
     def cpu_ms_per_s(self) -> float:
-        """Return the processor time spent each second."""
+        """Return the CPU time used per second."""
         return MS_PER_S * (self.used.cpu_s - self.before.cpu_s) / self.took_s
 
     @property
     def wakeups_per_s(self) -> float:
-        """Return how often the daemon was woken each second."""
+        """Return the daemon's wake-ups per second."""
         return (self.used.wakeups - self.before.wakeups) / self.took_s
 
     @property
     def peer_kb_per_s(self) -> float:
-        """Return the bytes exchanged with peers each second."""
+        """Return the kilobytes exchanged with peers per second."""
         return (self.used.peer_bytes - self.before.peer_bytes) / self.took_s / MS_PER_S
 
     def cpu_ms_per_request(self, idle: "Phase") -> float:
-        """Return the processor time that a request took beyond what an idle daemon spends."""
+        """Return the CPU time per request in excess of the idle daemon's."""
         spent = (self.cpu_ms_per_s - idle.cpu_ms_per_s) * self.took_s
         return spent / max(1, self.answered)
 
 
 @define(slots=False)
 class Bench:
-    """Hold one daemon, its peers and its stand-ins."""
+    """One daemon with its simulated peers, platform store and backend servers."""
 
     vms: int
     profile: str = ""
@@ -105,17 +105,17 @@
         await self.backends.close()
 
     def read(self) -> Usage:
-        """Return what the daemon has used."""
+        """Return the daemon's resource usage so far."""
         return read(self.pid, self._ports.peer)
 
     async def idle(self, lasts_s: float) -> Phase:
-        """Let the daemon do nothing but keep in touch."""
+        """Measure the daemon without requests; it only exchanges state with its peers."""
         before, started_s = self.read(), time.monotonic()
         await asyncio.sleep(lasts_s)
         return Phase(took_s=time.monotonic() - started_s, used=self.read(), before=before)
 
     async def serve(self, path: str, lasts_s: float) -> Phase:
-        """Send requests at a steady rate."""
+        """Measure the daemon under a steady rate of requests."""
         before, started_s = self.read(), time.monotonic()
         send_tasks = []
         for number in range(int(lasts_s * REQUESTS_PER_S)):
@@ -166,13 +166,13 @@
 
 
 def _middle_vm(fleet: list[FleetNode]) -> FleetNode:
-    """Return a VM in the middle of its region, which is neither its first nor its last."""
+    """Return a VM that is neither the first nor the last of its region."""
     local = [each for each in fleet if each.region == fleet[0].region]
     return local[len(local) // 2]
 
 
 def _servers(fleet: list[FleetNode], vms: int) -> list[tuple[str, str, str]]:
-    """Return the daemon's region's servers: about one engine for four VMs, some plain ones."""
+    """Return the region's servers: about one engine per four VMs and a few plain ones."""
     domains = sorted({each.failure_domain for each in fleet if each.region == fleet[0].region})
     pools = [ENGINES] * max(2, vms // len(domains) // 6) + [PLAIN] * 3
     return [
@@ -229,13 +229,13 @@
 
 
 def main() -> int:
-    """Measure at each size."""
+    """Measure at each fleet size."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--vms", type=int, nargs="+", default=SIZES)
     parser.add_argument("--lasts-s", type=float, default=10.0)
     parser.add_argument("--calls", action="store_true", help="count function calls instead")
     options = parser.parse_args()
-    # The simulated peers log like daemons.
+    # The simulated peers run the daemon's code, which logs to this process.
     level = logging.ERROR
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(level))
     if not options.calls:
--- a/bench/profile/daemon.py
+++ b/bench/profile/daemon.py
@@ -1,4 +1,4 @@
-"""Run the daemon's program and read what it has used."""
+"""Start a daemon process and read its resource usage."""
 
 import pstats
 import re
@@ -22,20 +22,20 @@
 
 @frozen(kw_only=True)
 class Usage:
-    """Hold what a process has used since its start."""
+    """Resource usage of a process since its start."""
 
     cpu_s: float
-    # How often it went to sleep: each time it is woken once.
+    # Voluntary context switches: the process is woken once after each.
     wakeups: int
     resident_mb: float
     anonymous_mb: float
-    # Payload on the connections to peers that are open now, both ways.
+    # Payload of the currently open connections to peers, in both directions.
     peer_bytes: int
 
 
 @frozen(kw_only=True)
 class Ports:
-    """Hold the ports of every VM of the fleet, each at its own address."""
+    """Ports of the VMs, the same on each because every VM has its own address."""
 
     peer: int
     front: int
@@ -47,18 +47,18 @@
 
 @frozen(kw_only=True)
 class Calls:
-    """Hold how often a profiled daemon called functions."""
+    """Function call counts of a profiled daemon."""
 
     all: int
     placings: int
-    # Of all placings, with everything that they called.
+    # Share of the profiled time spent in placements, callees included.
     in_placings_share: float
 
 
 def settings(
     node: FleetNode, ports: Ports, seeds: list[str], store: str, fleet: list[FleetNode]
 ) -> dict[str, Any]:
-    """Return the settings file that the platform would lay."""
+    """Return the settings that the platform would write for a VM."""
     listen = {
         "Front": f"{node.ip}:{ports.front}",
         "Ready": f"{node.ip}:{ports.ready}",
@@ -93,7 +93,7 @@
     metrics_port: int,
     profile: str,
 ) -> int:
-    """Start the program on its settings, with a profile where a file is named; return its pid."""
+    """Start the daemon with its settings, profiled if a profile file is named; return its pid."""
     path = processes.folder / f"{node.vm}.yaml"
     path.write_text(yaml.safe_dump(settings_values))
     arguments = ["harness.serve", str(path), str(metrics_port), *([profile] if profile else [])]
@@ -101,7 +101,7 @@
 
 
 def read(pid: int, peer_port: int) -> Usage:
-    """Return what a process has used."""
+    """Return the resource usage of a process."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     status = Path(f"/proc/{pid}/status").read_text()
     return Usage(
@@ -114,7 +114,7 @@
 
 
 def read_calls(path: Path) -> Calls:
-    """Return the calls that a profile counted."""
+    """Return the call counts of a profile."""
     stats = pstats.Stats(str(path))
     placing = [
         values
--- a/bench/profile/memory.py
+++ b/bench/profile/memory.py
@@ -1,11 +1,11 @@
-"""Tell what each library adds to a daemon's memory: `python -m bench.profile.memory`."""
+"""Print the memory that each library adds to a daemon: `python -m bench.profile.memory`."""
 
 import importlib
 import re
 import sys
 from pathlib import Path
 
-# In the order in which the daemon imports them; the last one is the daemon itself.
+# In the daemon's import order; the last module is the daemon itself.
 MODULES = (
     "asyncio",
     "yaml",
@@ -24,13 +24,13 @@
 
 
 def anonymous_mb() -> float:
-    """Return the memory that this process has to itself."""
+    """Return the anonymous memory of this process."""
     match = _ANONYMOUS.search(Path("/proc/self/status").read_text())
     return float(match[1]) / KB_PER_MB if match else 0.0
 
 
 def main() -> int:
-    """Import one after the other and print what each adds."""
+    """Import the modules in order and print the memory that each adds."""
     before_mb = anonymous_mb()
     print(f"{'interpreter':<36} {before_mb:6.1f} MB")
     for name in MODULES:
--- a/bench/profile/peers.py
+++ b/bench/profile/peers.py
@@ -1,4 +1,4 @@
-"""Simulate the peers that exchange heartbeats with the daemon, each with the daemon's own code."""
+"""Simulate the daemon's peers, which exchange heartbeats using the daemon's own code."""
 
 import asyncio
 from collections.abc import Sequence
@@ -33,7 +33,7 @@
 
 @frozen(kw_only=True)
 class FleetNode:
-    """Name a VM of the fleet and its address of loopback."""
+    """A VM of the fleet and its loopback address."""
 
     vm: str
     region: str
@@ -59,7 +59,7 @@
 
 
 class _Handlers(PeerHandlersStub):
-    """Answer the daemon's heartbeats as one peer does."""
+    """RPC handlers of one simulated peer."""
 
     def __init__(self, peer: "SimulatedPeer") -> None:
         self._peer = peer
@@ -75,7 +75,7 @@
 
 @define(slots=False, eq=False)
 class SimulatedPeer:
-    """Hold one peer: what it knows, and its link to the daemon."""
+    """One simulated peer: its membership view and its link to the daemon."""
 
     node: FleetNode
     daemon: FleetNode
@@ -112,10 +112,10 @@
         )
 
     async def start(self) -> None:
-        """Listen, and dial the daemon where that falls to this peer."""
+        """Listen, and dial the daemon if this peer is the dialing side."""
         self._server = Server([_Handlers(self)])
         await self._server.start(self.node.ip, self.port)
-        # Of two VMs the one first by name dials.
+        # Of two VMs the one whose name sorts first dials.
         if self.daemon.vm < self.node.vm:
             return
         self._link = PeerLink(
@@ -132,7 +132,7 @@
         await self._link.start()
 
     async def stop(self) -> None:
-        """Close the link and the port."""
+        """Close the link and the server."""
         if self._link is not None:
             await self._link.stop()
         if self._server is not None:
@@ -140,14 +140,14 @@
             await self._server.wait_closed()
 
     def receive_from_all(self) -> None:
-        """Take a heartbeat of every VM but the daemon."""
+        """Observe a heartbeat of every other VM except the daemon."""
         now = now_unix_s()
         for node in self.fleet:
             if node.vm not in (self.daemon.vm, self.node.vm):
                 self.view.observe_heartbeat(self._member(node, now), now)
 
     def stream(self, peer: ListedVm) -> PeerStream:
-        """Return a stream to be dialed or accepted."""
+        """Return a stream for a dialed or accepted connection."""
         return PeerStream(peer, self.node.region, self.exchange, self.heartbeats)
 
     def send_heartbeat(self) -> None:
@@ -170,13 +170,13 @@
 
 @define(slots=False)
 class SimulatedPeers:
-    """Hold the peers that the daemon exchanges heartbeats with."""
+    """The peers that the daemon exchanges heartbeats with."""
 
     peers: list[SimulatedPeer]
     _receiving: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start them all."""
+        """Start all peers and their heartbeats."""
         for peer in self.peers:
             peer.receive_from_all()
         self._receiving = asyncio.create_task(self._receive_updates())
@@ -184,7 +184,7 @@
             await peer.start()
 
     async def stop(self) -> None:
-        """Stop them all."""
+        """Stop all peers and their heartbeats."""
         if self._receiving is not None:
             self._receiving.cancel()
         for peer in self.peers:
--- a/bench/profile/region.py
+++ b/bench/profile/region.py
@@ -1,7 +1,7 @@
 """Run the state exchange of one region's daemons in memory, under a steady load.
 
-There is one clock, and nothing is simulated but the time: heartbeats are built, serialized, parsed
-and taken in by the daemon's own code.
+Only the clock is simulated: heartbeats are built, serialized, parsed and applied by the daemon's
+own code.
 """
 
 import time
@@ -37,7 +37,7 @@
 
 @frozen(kw_only=True)
 class RegionSize:
-    """Say what one region holds and what it knows of the rest."""
+    """Sizes of one region and of the remote state that it knows."""
 
     daemons: int
     servers: int
@@ -48,7 +48,7 @@
 
 @frozen(kw_only=True)
 class ExchangeCost:
-    """Hold what an average daemon spent a second on the exchange inside its region."""
+    """Average cost per daemon and second of the state exchange inside a region."""
 
     size: RegionSize
     cpu_s_per_s: float
@@ -75,14 +75,14 @@
     reports: dict[str, LoadReport]
     random: Random
     running: deque[tuple[float, str, str]] = field(factory=deque)
-    # What each node has told and heard of on the stream that it shares with another.
+    # Updates sent to and received from each other node on their shared stream.
     sent: dict[str, SentUpdates] = field(factory=dict)
     placed: int = 0
 
 
 @define
 class SimulatedRegion:
-    """Hold the daemons of one region."""
+    """The daemons of one region, exchanging state in memory."""
 
     size: RegionSize
     clock: _Clock = field(factory=_Clock)
@@ -104,7 +104,7 @@
             self._pollers[name] = rendezvous(name, vms, POLLERS)
 
     def run(self, warm_s: int, measure_s: int) -> ExchangeCost:
-        """Let some seconds pass; return the cost of the last ones."""
+        """Simulate `warm_s` and then `measure_s` seconds; return the cost of the latter."""
         with patch("pomelobarrow.peers.heartbeats.now_unix_s", self.clock.now):
             for _ in range(warm_s):
                 self._advance_second()
@@ -114,13 +114,13 @@
         return ExchangeCost(
             size=self.size,
             cpu_s_per_s=cpu_s / daemon_s,
-            # What one sends another one receives.
+            # Each message counts twice: once for its sender and once for its receiver.
             bytes_per_s=2 * self.bytes_sent / daemon_s,
             messages_per_s=2 * self.messages / daemon_s,
         )
 
     def _advance_second(self) -> float:
-        """Let one second pass; return the processor time of the exchange."""
+        """Simulate one second; return the CPU time of the exchange."""
         self.clock.unix_s += 1.0
         for node in self._running():
             self._serve_requests(node)
@@ -134,14 +134,14 @@
         return time.process_time() - started_s
 
     def stop(self, vm: str) -> None:
-        """Let a daemon die."""
+        """Stop a daemon without notice, as in a crash."""
         self._stopped.add(vm)
 
     def _running(self) -> list[_Node]:
         return [node for vm, node in self.nodes.items() if vm not in self._stopped]
 
     def links_of(self, vm: str) -> list[str]:
-        """Return the daemons of the region that a daemon dials."""
+        """Return the daemons of the region that a daemon exchanges heartbeats with."""
         return sorted(self.nodes[vm].heartbeats.neighbours.all)
 
     def _send_heartbeat(self, sender: _Node, receiver: _Node) -> None:
@@ -205,12 +205,12 @@
                 node.table.observe_report(report, now)
 
     def _receive_other_regions(self, node: _Node) -> None:
-        """Let the first two daemons, as relays, hear all other regions."""
+        """Let the first two daemons, as relays, receive the heartbeats of all other regions."""
         if node.vm not in ("r00-vm000", "r00-vm001"):
             return
         now = self.clock.now()
         for number, member in enumerate(other_members(self.size, now)):
-            # The first of each region's daemons tells the loads of its region.
+            # The first daemon of each region sends the loads of its region.
             pools = POOLS if number < self.size.other_regions else ()
             node.heartbeats.take(_heartbeat(member, pools, now))
 
@@ -257,7 +257,7 @@
 
 
 def published_state(size: RegionSize) -> PublishedState:
-    """Return both keyspaces in force at a size."""
+    """Return both published keyspaces for a region size."""
     published = PublishedState(observe=lambda event: None)
     config, vms = config_changes(size.accounts), vms_changes(size)
     published.apply(CONFIG, config, 1, after_revision=0, source="bench")
@@ -266,7 +266,7 @@
 
 
 def config_changes(accounts: int, models: int = 24) -> list[Change]:
-    """Return the published configuration with so many accounts and models."""
+    """Return the published configuration with these numbers of accounts and models."""
     values: dict[str, Any] = {"deployment": {"objective": "cost"}}
     values |= {f"pools/{pool}": {"kind": "engine"} for pool in POOLS}
     values |= {f"models/model-{n:02d}": {"pool": POOLS[n % 2]} for n in range(models)}
@@ -277,7 +277,7 @@
 
 
 def account_value(number: int) -> dict[str, Any]:
-    """Return how an account is published."""
+    """Return the published value of an account."""
     return {
         "token_sha256": [f"{number:064x}"],
         "home_region": "r00",
@@ -287,7 +287,7 @@
 
 
 def vms_changes(size: RegionSize) -> list[Change]:
-    """Return the published list of VMs."""
+    """Return the published VM entries."""
     values: dict[str, Any] = {}
     for number in range(size.daemons):
         member = _member("r00", f"r00-vm{number:03d}", number)
@@ -300,7 +300,7 @@
 
 
 def server_value(region: str, number: int) -> dict[str, Any]:
-    """Return how a backend server is published."""
+    """Return the published value of a backend server."""
     return {
         "role": "backend_server",
         "state": "live",
@@ -353,4 +353,4 @@
 
 
 def _no_attempt(*parts: object) -> Any:
-    raise NotImplementedError("nothing is sent here")
+    raise NotImplementedError("a simulated region runs no attempts")
--- a/bench/profile/standins.py
+++ b/bench/profile/standins.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's store and for the backend servers that the daemon uses."""
+"""Stand-ins for the platform's store and the backend servers that the daemon uses."""
 
 import asyncio
 from typing import Any
@@ -16,7 +16,7 @@
 PLAIN = "plain"
 SLOTS = {ENGINES: 12, PLAIN: 6}
 ANSWER = b"x" * 800
-# As long as an answer of a small service takes.
+# Response time of a small service.
 PLAIN_ANSWER_S = 0.02
 EVENT = b"id: %d\ndata: " + b"y" * 60 + b"\n\n"
 EVENT_EVERY_S = 0.02
@@ -27,7 +27,7 @@
 
 @frozen(kw_only=True)
 class Server:
-    """Name a backend server and where it listens."""
+    """A backend server and its address."""
 
     name: str
     pool: str
@@ -37,7 +37,7 @@
 
 @define(kw_only=True, slots=False)
 class Backends:
-    """Serve the platform's store and every backend server of the daemon's region."""
+    """HTTP servers for the platform's store and the backend servers of the daemon's region."""
 
     store: SoakStore = field(factory=SoakStore)
     servers: list[Server] = field(factory=list)
@@ -45,7 +45,7 @@
     _runners: list[web.BaseRunner] = field(factory=list)
 
     async def listen(self, runner: web.BaseRunner, host: str) -> str:
-        """Open a port; return its address."""
+        """Start a server on a free port and return its address."""
         await runner.setup()
         site = web.TCPSite(runner, host, 0)
         await site.start()
@@ -53,13 +53,13 @@
         return f"{host}:{runner.addresses[0][1]}"
 
     async def listen_for_store(self) -> str:
-        """Serve the store; return its address."""
+        """Serve the store and return its address."""
         app = web.Application()
         app.add_routes(self.store.routes())
         return await self.listen(web.AppRunner(app), "127.0.0.1")
 
     async def listen_for_requests(self, servers: list[tuple[str, str, str]]) -> None:
-        """Serve as all backend servers, each known by name, pool and failure domain."""
+        """Serve all backend servers, given by name, pool and failure domain."""
         for number, (name, pool, domain) in enumerate(servers, start=1):
             runner = web.ServerRunner(web.Server(answer, access_log=None))
             address = await self.listen(runner, f"127.9.0.{number}")
@@ -75,13 +75,13 @@
         self.store.put("op/config", config)
 
     async def close(self) -> None:
-        """Close every port."""
+        """Close all servers."""
         for runner in self._runners:
             await runner.cleanup()
 
 
 async def answer(request: web.BaseRequest) -> web.StreamResponse:
-    """Answer as any backend server; the path's last part says how many events a stream has."""
+    """Answer as a backend server; the last part of the path is a stream's number of events."""
     await request.read()
     headers = {REQUEST_ID: request.headers[REQUEST_ID], SEAL: "1.2.3", LOAD: "3,0,12"}
     if request.path.startswith("/plain"):
--- a/bench/replay/__init__.py
+++ b/bench/replay/__init__.py
@@ -1,1 +1,1 @@
-"""Replays of load patterns: the relay's own decisions before a modelled fleet."""
+"""Replays of load patterns: the relay's placement decisions against a simulated fleet."""
--- a/bench/replay/__main__.py
+++ b/bench/replay/__main__.py
@@ -1,4 +1,4 @@
-"""Play load patterns of worst moments; print what became of the requests, and draw a plot."""
+"""Replay peak load patterns, print the results of the requests and draw a plot."""
 
 from collections import Counter
 from pathlib import Path
@@ -18,13 +18,13 @@
 
 
 def on_time(ended: ReplayResult, target_s: float) -> bool:
-    """Say whether a stream's first event and all pauses were on time."""
+    """Return whether a stream's first event and all its pauses met their targets."""
     is_early = ended.first_event_s is not None and ended.first_event_s <= target_s
     return ended.outcome == "answered" and is_early and ended.longest_pause_s <= PAUSE_TARGET_S
 
 
 def result(ended: ReplayResult) -> str:
-    """Name what became of one request."""
+    """Return the label of a request's result."""
     target_s = 0.8 if ended.route == "hint" else 1.0
     if ended.outcome != "answered":
         return ended.outcome
@@ -34,7 +34,7 @@
 
 
 def main() -> None:
-    """Play all patterns."""
+    """Replay all patterns."""
     figure, axes = pyplot.subplots(len(PATTERNS), 1, figsize=(8, 2.2 * len(PATTERNS)), sharex=True)
     for (name, play), axis in zip(PATTERNS.items(), axes, strict=True):
         ended = [each for seed in SEEDS for each in play(seed)]
--- a/bench/replay/engine.py
+++ b/bench/replay/engine.py
@@ -1,4 +1,4 @@
-"""A modelled engine: prompts are read in chunks between the steps of all running streams."""
+"""Simulated engine that prefills prompts in chunks between the decode steps of its streams."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -7,10 +7,10 @@
 
 CHUNK_TOKENS = 4_096
 STEP_S = 0.0044
-# A step gets longer with the tokens that the running streams hold.
+# A step takes longer the more context tokens the running streams hold.
 STEP_S_PER_CONTEXT_TOKEN = 3.5e-8
 PREFILL_S_PER_TOKEN = 1.43e-5
-# Attention over what was read before makes late chunks of a long prompt longer.
+# Attention over the earlier tokens makes the later chunks of a long prompt slower.
 PREFILL_S_PER_PAIR = 5.9e-10
 FIRST_EVENT_S = 0.11
 TOKENS_PER_EVENT = 5
@@ -18,7 +18,7 @@
 
 @define(kw_only=True, eq=False)
 class Stream:
-    """Hold one request: what it asks for and when its events came."""
+    """One streamed request: its size, its progress and the times of its events."""
 
     request_id: str
     group: str
@@ -38,13 +38,13 @@
 
     @property
     def prompt_tokens(self) -> int:
-        """Return the length of the prompt."""
+        """Return the length of the prompt, shared part included."""
         return self.shared_tokens + self.own_tokens
 
 
 @define(kw_only=True, eq=False)
 class ReplayEngine:
-    """Read the most urgent prompts first, chunk by chunk, and make one token a step for each."""
+    """Engine that prefills by urgency, in chunks, and decodes one token per stream and step."""
 
     slots: int
     cache_tokens: int
@@ -59,14 +59,14 @@
     _seen: set[str] = field(factory=set)
 
     def submit(self, stream: Stream, now_unix_s: float) -> None:
-        """Take a request."""
+        """Queue a request."""
         self.waiting.append(stream)
         self.waiting.sort(key=lambda each: (each.urgency, each.arrived_unix_s))
         if self.next_step_unix_s is None:
             self._begin_step(now_unix_s)
 
     def finish_step(self) -> None:
-        """End the step under way: make tokens, and begin the next step."""
+        """Finish the current step by generating tokens, and begin the next one."""
         assert self.next_step_unix_s is not None
         now = self.next_step_unix_s
         for stream in list(self.running):
@@ -106,7 +106,7 @@
         return took_s
 
     def _cached(self, stream: Stream) -> int:
-        """Return the tokens of the prompt that are cached, and cache the shared part."""
+        """Return the prompt's cached tokens and cache its shared part."""
         if not stream.shared_tokens:
             return 0
         cached = self._cache.pop(stream.group, 0)
--- a/bench/replay/fleet.py
+++ b/bench/replay/fleet.py
@@ -1,7 +1,7 @@
-"""Entry VMs of several regions that place streams by the relay's own decisions.
+"""Simulated entry VMs of several regions that place streams with the relay's own decision code.
 
-Each VM has its own view: peers of its region tell it their counts, and other regions tell their
-loads, both as late as in a real fleet.
+Each VM has its own view: it receives the counts of peers in its region and the loads of other
+regions with the delays of a real fleet.
 """
 
 import heapq
@@ -45,14 +45,14 @@
 
 @frozen(kw_only=True)
 class RequestKind:
-    """Describe a kind of request: its route, its size and how often each region asks."""
+    """A kind of request: its route, its size and its rate in each region."""
 
     route: Route
     own_tokens: int
     events: int
     groups: int = 0
     shared_tokens: int = 0
-    # Requests a second by region, between two times after the start.
+    # Requests per second by region, between `from_s` and `until_s` after the start.
     per_s: dict[str, float]
     from_s: float = 0.0
     until_s: float = 10.0
@@ -60,7 +60,7 @@
 
 @define(kw_only=True)
 class ReplayResult:
-    """Hold what became of one request."""
+    """The result of one request."""
 
     route: str
     arrived_s: float
@@ -79,7 +79,7 @@
 
 @define(kw_only=True)
 class ReplayFleet:
-    """Play requests against regions of engines, given as engines by region."""
+    """Replay of requests against the engines of several regions."""
 
     engines_by_region: dict[str, int]
     kinds: Iterable[RequestKind]
@@ -87,7 +87,7 @@
     slots: int = 128
     cache_tokens: int = 200_000
     seed: int = 1
-    # Called with the time since the start, to crash, slow or empty engines as it passes.
+    # Called every 100 ms with the time since the start, for instance to slow down an engine.
     on_tick: Callable[["ReplayFleet", float], None] = lambda fleet, at_s: None
     engines: dict[str, ReplayEngine] = field(factory=dict, init=False)
     ended: list[ReplayResult] = field(factory=list, init=False)
@@ -110,7 +110,7 @@
                 self._add_vm(region, f"vm-{region}-{number}")
 
     def run(self, until_s: float = 20.0) -> list[ReplayResult]:
-        """Play all requests and return what became of them."""
+        """Replay all requests and return their results."""
         self._every(PEER_UPDATE_EVERY_S, self._send_peer_updates)
         self._every(REGION_UPDATE_EVERY_S, self._send_region_loads)
         self._every(0.1, lambda now: self.on_tick(self, now - START_UNIX_S))
@@ -333,7 +333,7 @@
 
 
 def stream_route(name: str, urgency: int, **more: object) -> Route:
-    """Return a route of streams as the deployments have them."""
+    """Return a stream route with the settings of the deployments."""
     fields: dict[str, object] = {
         "name": name,
         "host": "h",
--- a/bench/replay/patterns.py
+++ b/bench/replay/patterns.py
@@ -1,4 +1,4 @@
-"""Load patterns of worst moments, each as a function of a seed."""
+"""Peak load patterns, each replayed with a seed."""
 
 from collections.abc import Callable
 
@@ -11,41 +11,41 @@
 
 
 def hints(**per_s: float) -> RequestKind:
-    """Return short prompts with long answers, bound to regions a and b."""
+    """Return requests with short prompts and long answers, bound to regions a and b."""
     bound = evolve(HINT, home_regions=("a", "b"))
     return RequestKind(route=bound, own_tokens=700, events=50, per_s=per_s)
 
 
 def digests(**per_s: float) -> RequestKind:
-    """Return long prompts with short answers that may run anywhere."""
+    """Return requests with long prompts and short answers that may run in any region."""
     return RequestKind(
         route=DIGEST, own_tokens=2_900, shared_tokens=6_272, groups=60, events=10, per_s=per_s
     )
 
 
 def papers(**per_s: float) -> RequestKind:
-    """Return long prompts that share nothing with others."""
+    """Return requests with long prompts that share no prefix."""
     return RequestKind(route=DIGEST, own_tokens=9_200, events=10, per_s=per_s)
 
 
 def peak_in_one_region(seed: int) -> list[ReplayResult]:
-    """Return what became of one region's peak while two others are nearly idle."""
+    """Replay a peak in one region while two others are nearly idle."""
     kinds = (hints(a=34.0, b=4.0), papers(a=5.0, b=0.5, c=0.5))
     fleet = ReplayFleet(engines_by_region={"a": 2, "b": 2, "c": 1}, kinds=kinds, seed=seed)
     return fleet.run(14.0)
 
 
 def two_peaks(seed: int) -> list[ReplayResult]:
-    """Return what became of two regions' peaks at a time, each with long and short prompts."""
+    """Replay simultaneous peaks in two regions, each with long and short prompts."""
     kinds = (hints(a=30.0, b=30.0), digests(a=8.0, b=8.0))
     fleet = ReplayFleet(engines_by_region={"a": 2, "b": 2}, kinds=kinds, seed=seed)
     return fleet.run(14.0)
 
 
 def many_vms(seed: int) -> list[ReplayResult]:
-    """Return what became of a region's long and short prompts where 60 VMs place them.
+    """Replay long and short prompts in a region where 60 VMs place them.
 
-    A VM hears of 14 others, so that it knows little of what a server has before it.
+    A VM receives updates from only 14 others, so that it knows little of a server's queued work.
     """
     kinds = (
         RequestKind(route=HINT, own_tokens=300, events=9, per_s={"a": 110.0}),
@@ -70,7 +70,7 @@
 
 
 def slow_engine(seed: int) -> list[ReplayResult]:
-    """Return what became of streams once one of three engines takes five times as long."""
+    """Replay streams while the steps of one of three engines take five times as long."""
 
     def slow_down(fleet: ReplayFleet, at_s: float) -> None:
         fleet.engines["a-0"].slowdown_factor = 5.0 if at_s >= 2.0 else 1.0
@@ -85,7 +85,7 @@
 
 
 def overload(seed: int) -> list[ReplayResult]:
-    """Return what became of twice the streams that a region's only engine can run."""
+    """Replay twice the streams that a region's only engine can run."""
     fleet = ReplayFleet(engines_by_region={"a": 1}, kinds=(hints(a=110.0),), slots=64, seed=seed)
     return fleet.run(25.0)
 
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,4 +1,4 @@
-"""Write the page, the plot and the joined results of a whole run."""
+"""Write the page section, the plot and the table of targets of a full run."""
 
 import json
 import os
@@ -48,7 +48,7 @@
 
 
 def write_report(results: dict[str, Any]) -> None:
-    """Write the page's section and the plot; other sections stay."""
+    """Write the targets and the plot, and replace this section of the page."""
     PLOTS.mkdir(parents=True, exist_ok=True)
     plot(results, PLOTS / "comparison.png")
     page = PAGE.read_text() if PAGE.exists() else TITLE
@@ -59,7 +59,7 @@
 
 
 def target_rows(results: dict[str, Any]) -> list[dict[str, str]]:
-    """Return the judged targets for the results file."""
+    """Return the evaluated targets for the results file."""
     return [
         {
             "deployment": each.deployment,
@@ -73,7 +73,7 @@
 
 
 def section(results: dict[str, Any]) -> str:
-    """Return the section as Markdown."""
+    """Return the page section as Markdown."""
     load_before = ", ".join(f"{each:.1f}" for each in os.getloadavg())
     lines = [HEADING, "", TEXT.format(prefill=PREFILL)]
     lines.append(
@@ -152,7 +152,7 @@
 
 
 def plot(results: dict[str, Any], path: Path) -> None:
-    """Plot the policies side by side."""
+    """Plot the first-token times and recomputed tokens of the policies side by side."""
     policies = (ROUND_ROBIN, LEAST_LOAD, GATEWAY)
     figure, axes = pyplot.subplots(2, len(results), figsize=(9, 6), squeeze=False)
     for column, (name, each) in enumerate(results.items()):
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -1,4 +1,4 @@
-"""Run the scenarios of one deployment on real daemons."""
+"""Fleets of real daemons and the scenarios that run on them."""
 
 import asyncio
 import hashlib
@@ -25,12 +25,12 @@
 LEAST_LOAD = "least-load"
 METERED = "metered"
 METERED_PER_S = 8.0
-# Offered by all regions together, as a multiple of the account's limit.
+# Load offered by all regions together, as a multiple of the account's limit.
 METERED_OFFERED = 3.0
 LIMIT_WINDOW_S = 10.0
 ACCOUNT_LIMIT = "account_limit"
 METERED_S = 13.0
-# Demand that is new everywhere is known everywhere after this.
+# After this time every VM has received the demand of all others.
 METERED_KNOWN_S = 3.0
 MOVES_EVERY = 80
 RAMP_S = 3.0
@@ -41,7 +41,7 @@
 
 @frozen(kw_only=True)
 class Durations:
-    """State how long each part takes."""
+    """Durations of the parts of a run."""
 
     calibration_s: float
     comparison_s: float
@@ -74,12 +74,12 @@
 
 @define
 class BenchFleet(Fleet):
-    """Hold a deployment whose daemons use one policy."""
+    """A deployment whose daemons all use one policy."""
 
     policy: str = GATEWAY
 
     def start_entry(self, vm: str) -> None:
-        """Start an entry VM's daemon, with the baseline's plug-in where one is named."""
+        """Start an entry VM's daemon, with the plug-in of the baseline policy if one is set."""
         if self.policy == GATEWAY:
             super().start_entry(vm)
             return
@@ -91,7 +91,7 @@
 
 @define(kw_only=True)
 class Bench:
-    """Hold one fleet, its callers' session and the measured capacity."""
+    """One fleet, the session of its callers and the measured capacity."""
 
     fleet: BenchFleet
     traffic: DeploymentTraffic
@@ -124,12 +124,12 @@
         ]
 
     def log_progress(self, text: str) -> None:
-        """Tell on stderr how far the bench is."""
+        """Print a progress line to stderr."""
         name, policy = self.traffic.deployment.name, self.fleet.policy
         print(f"{time.strftime('%X')} {name} {policy}: {text}", file=sys.stderr, flush=True)
 
     async def calibrate(self) -> float:
-        """Measure the engine requests a second that full engines answer."""
+        """Measure the requests per second that saturated engines answer."""
         duration_s = self.durations.calibration_s
         load = Load(
             name=f"calibration-{self.fleet.policy}",
@@ -159,7 +159,7 @@
         fault: FaultStarter | None = None,
         planned: list[Arrival] | None = None,
     ) -> Observed:
-        """Run one scenario, with a fault on the way, and keep what it left behind."""
+        """Run one scenario, optionally with a fault, and keep its records and engine runs."""
         planned = planned or arrivals(self.traffic, load, self.capacity_per_s)
         self.log_progress(f"{load.name}: {len(planned)} requests")
         callers, started_unix_s = self.callers(), time.time()
@@ -182,7 +182,7 @@
         return observed
 
     async def metered(self) -> dict[str, Any]:
-        """Offer an account thrice its limit at VMs of all regions; count what got through."""
+        """Offer three times an account's limit at VMs of all regions and return the overshoot."""
         account = _metered_account()
         await self.fleet.publish("config", {f"accounts/{METERED}": account})
         await asyncio.sleep(2.0 * SETTLE_S)
@@ -250,9 +250,10 @@
 
 
 def _passed_limit(answer: Answer) -> bool:
-    """Say whether an account's limit let a request through, whatever became of it then.
+    """Return whether the account limit admitted a request, whatever its outcome.
 
-    A refusal of work under an issued id says "unknown" where another VM keeps the id's outcome.
+    A refused request with an issued id has the outcome unknown if another VM keeps the id's
+    outcome; its kind still identifies the limit.
     """
     may_have_run = answer.outcome in (Outcome.ANSWERED, Outcome.UNKNOWN)
     return may_have_run and answer.kind != ACCOUNT_LIMIT
@@ -268,5 +269,5 @@
 
 
 def _moving_region_index(number: int, regions: int) -> int:
-    """Move two thirds of the demand from region to region every few seconds."""
+    """Shift two thirds of the demand to the next region every `MOVES_EVERY` requests."""
     return (number // MOVES_EVERY + (number % 3 == 0)) % regions
--- a/bench/sending.py
+++ b/bench/sending.py
@@ -1,4 +1,4 @@
-"""Send requests as the callers' page says and note what each caller saw."""
+"""Send requests by the documented rules for callers and record each caller's results."""
 
 import asyncio
 import time
@@ -18,10 +18,10 @@
 CHAT_PATH = "/v1/chat/completions"
 CONNECT_TIMEOUT_S = 1.0
 GRACE_S = 2.0
-# Many callers stand behind each book; with one alone, all would use the same entry VM.
+# Each book serves many callers; with a single one, all would use the same entry VM.
 BOOKS_PER_ACCOUNT = 4
 MAX_ENTRIES_TRIED = 4
-# Bounds the run: who is told to come back later than this doesn't.
+# Bounds the run: a caller does not retry if it would have to wait longer.
 MAX_RETRY_WAIT_S = 10.0
 OTHER_ENTRY_KINDS = frozenset({"draining", "not_ready"})
 UNREACHED = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError, NoEntryError)
@@ -29,7 +29,11 @@
 
 @define(kw_only=True)
 class Answer:
-    """Hold what one try came to; times are seconds since the scenario's start."""
+    """The result of one try.
+
+    `sent_s` and `retry_at_s` count from the scenario's start, `first_token_s` and `end_s` from
+    `sent_s`.
+    """
 
     outcome: Outcome
     kind: str
@@ -43,24 +47,24 @@
 
 @define(kw_only=True)
 class Record:
-    """Hold one request and its tries."""
+    """One request and its tries."""
 
     arrival: Arrival
     tries: list[Answer] = field(factory=list)
 
     @property
     def last(self) -> Answer:
-        """Return the try that counts."""
+        """Return the last try."""
         return self.tries[-1]
 
 
 @define(kw_only=True)
 class Callers:
-    """Hold the callers of one deployment."""
+    """The callers of one deployment."""
 
     traffic: DeploymentTraffic
     session: aiohttp.ClientSession
-    # The directory's VMs by region.
+    # Addresses of the entry VMs by region.
     directory: dict[str, list[str]]
     started_s: float
     rng: Random = field(factory=lambda: Random(1))
@@ -72,7 +76,7 @@
         return time.monotonic() - self.started_s
 
     async def send(self, arrival: Arrival, account: str = "") -> Record:
-        """Send one request; a refused one comes back once, when it was told to."""
+        """Send one request; if refused, retry once at the time that the refusal states."""
         record = Record(arrival=arrival)
         due_s = arrival.at_s + self._due_after_s(arrival)
         record.tries.append(await self._try(arrival, account, due_s))
@@ -82,13 +86,13 @@
         wait_s = retry_at_s - self.now_s()
         if wait_s <= MAX_RETRY_WAIT_S:
             await asyncio.sleep(max(0.0, wait_s))
-            # Who comes back later asks for an answer by a later time.
+            # A retry has a later deadline than the first try.
             due_s = self.now_s() + self._due_after_s(arrival)
             record.tries.append(await self._try(arrival, account, due_s))
         return record
 
     async def send_all(self, arrivals: list[Arrival], account: str = "") -> list[Record]:
-        """Send each request at its time, however late answers are."""
+        """Send each request at its planned time, without waiting for earlier answers."""
         tasks: list[asyncio.Task[Record]] = []
         for arrival in arrivals:
             await asyncio.sleep(max(0.0, arrival.at_s - self.now_s()))
@@ -190,12 +194,12 @@
                 session=self.session,
                 class_name=arrival.class_name,
                 token=token_of(name),
-                known_addresses=self._known(arrival.region),
+                known_addresses=self._entry_addresses(arrival.region),
             )
         return self._books[key]
 
-    def _known(self, region: str) -> tuple[str, ...]:
-        """Return the directory's VMs, those of the caller's own region first."""
+    def _entry_addresses(self, region: str) -> tuple[str, ...]:
+        """Return the addresses of all entry VMs, those of the caller's region first."""
         own = list(self.directory[region])
         others = [vm for name, vms in self.directory.items() if name != region for vm in vms]
         self.rng.shuffle(own)
--- a/bench/sequence.py
+++ b/bench/sequence.py
@@ -1,4 +1,4 @@
-"""Run one deployment's scenarios in their order and work its results out."""
+"""Run one deployment's scenarios in order and compute the results."""
 
 import asyncio
 from collections.abc import AsyncIterator, Iterable
@@ -23,13 +23,14 @@
 from harness.deployments import PAYING_ACCOUNT
 from pomelobarrow.standin.load_results import Outcome
 
+# Loads of the scenarios, as shares of the measured capacity.
 COMPARED = 0.85
 PAYING = 0.70
 TRIAL = 1.30
-# Low enough that with all who come back the load is below capacity.
+# Low enough that the load, with all retries of refused callers, is below capacity.
 RECOVERY = 0.20
 STEADY = 0.60
-# A region's callers spread over those left, so that what may move has room there.
+# Leaves capacity in the remaining regions for the lost region's requests that may move.
 LOST = 0.45
 
 
@@ -37,13 +38,13 @@
 async def bench_on(
     traffic: DeploymentTraffic, policy: str, durations: Durations
 ) -> AsyncIterator[Bench]:
-    """Start a fleet whose daemons use a policy."""
+    """Start a fleet whose daemons all use one policy."""
     connector = aiohttp.TCPConnector(limit=0)
     async with (
         BenchFleet(traffic.deployment, policy=policy, log_level="warning") as fleet,
         aiohttp.ClientSession(connector=connector) as session,
     ):
-        # The first heartbeats and reports come within this.
+        # The first heartbeats and reports arrive within this time.
         await asyncio.sleep(SETTLE_S)
         yield Bench(fleet=fleet, traffic=traffic, session=session, durations=durations)
 
@@ -51,7 +52,7 @@
 async def run_deployment(
     traffic: DeploymentTraffic, durations: Durations, *, is_whole: bool
 ) -> dict[str, Any]:
-    """Run all scenarios under the gateway's policy and the comparison under the baselines too."""
+    """Run all scenarios with the gateway's policy, and the comparison with the baselines too."""
     observed: list[Observed] = []
     capacities: dict[str, float] = {}
     async with bench_on(traffic, ROUND_ROBIN, durations) as bench:
@@ -60,12 +61,12 @@
         observed += bench.observed
     async with bench_on(traffic, LEAST_LOAD, durations) as bench:
         capacities[LEAST_LOAD] = await bench.calibrate()
-        # All policies get what the round robin can stand, so that none is past its capacity.
+        # All policies get a load that round robin can serve, so that none is overloaded.
         bench.capacity_per_s = capacities[ROUND_ROBIN]
         await bench.run(_comparison(durations))
         observed += bench.observed
     async with bench_on(traffic, GATEWAY, durations) as bench:
-        # Calibrated first as the others are, or its caches alone would be cold.
+        # Calibrated first like the others; otherwise this policy alone would start cold.
         capacities[GATEWAY] = await bench.calibrate()
         bench.capacity_per_s = capacities[ROUND_ROBIN]
         await bench.run(_comparison(durations))
@@ -97,7 +98,7 @@
 
 
 async def _overload(bench: Bench) -> dict[str, Any]:
-    """Run the paying load alone and with trial load on top, then let the trial load stop."""
+    """Run the paying load alone, then with trial load on top that stops before the end."""
     durations = bench.durations
     load = Load(name="overload", duration_s=durations.overload_s, paying=PAYING)
     alone = await bench.run(load)
@@ -118,7 +119,7 @@
     }
 
 
-# What waited when the trial load stopped is answered by then.
+# Requests that waited when the trial load stopped are answered within this time.
 SETTLED_S = 2.0
 
 
@@ -164,7 +165,7 @@
 
 
 def _servable(bench: Bench, lost: str) -> Iterable[tuple[str, bool]]:
-    """Name the classes that can still be served, by whether their home is the lost region."""
+    """Yield the classes that can still be served; True marks callers at home in the lost region."""
     for name, each in bench.traffic.deployment.classes.items():
         yield name, False
         if not each.get("home_bound", False):
@@ -198,6 +199,6 @@
 async def run_bounded(
     traffic: DeploymentTraffic, durations: Durations, *, is_whole: bool, limit_s: float
 ) -> dict[str, Any]:
-    """Run, or end everything at the time limit."""
+    """Run the deployment's scenarios, cancelled at the time limit."""
     async with asyncio.timeout(limit_s):
         return await run_deployment(traffic, durations, is_whole=is_whole)
--- a/bench/targets.py
+++ b/bench/targets.py
@@ -1,4 +1,4 @@
-"""Judge the measured figures against the targets and the regression bounds."""
+"""Evaluate the measured figures against the targets and the regression bounds."""
 
 from typing import Any
 
@@ -11,7 +11,7 @@
 
 @frozen(kw_only=True)
 class Target:
-    """Hold one target with what was measured; None where nothing could be."""
+    """A target and its measured value; `is_met` is None if nothing could be measured."""
 
     deployment: str
     name: str
@@ -21,7 +21,7 @@
 
     @property
     def verdict(self) -> str:
-        """Say in words whether it is met."""
+        """Return the verdict as text."""
         return {True: "met", False: "NOT met", None: "not measured"}[self.is_met]
 
     def line(self) -> str:
@@ -38,7 +38,8 @@
 MIN_SECOND_TRIES = 0.9
 REVIEW_BY_DEPLOYMENT = {"vasktoru": "contract-review", "rondinella": "draft"}
 
-# A run on a loaded machine varies; past these something has got worse, not just the machine.
+# Regression bounds. They are wider than the targets, because results vary on a loaded machine;
+# results beyond them indicate a regression.
 MIN_BOUND_PAYING_KEPT = 0.95
 MIN_BOUND_TAIL_RATIO = 1.0
 MAX_BOUND_RECOMPUTED_RATIO = 0.8
@@ -65,7 +66,7 @@
 
 
 def paying_kept(results: Results) -> float | None:
-    """Return the least share, over classes, of what the paying load alone meets."""
+    """Return the lowest ratio, over classes, of targets met under overload to those met alone."""
     alone = results["overload"]["paying_met_alone"]
     both = results["overload"]["paying_met_overloaded"]
     shares = [both[name]["met"] / each["met"] for name, each in alone.items() if each["met"]]
@@ -73,14 +74,14 @@
 
 
 def tail_ratio(results: Results, class_name: str) -> float | None:
-    """Return round robin's p99 to the first token over the gateway's."""
+    """Return the ratio of round robin's p99 time to first token to the gateway's."""
     theirs = comparison_row(results, ROUND_ROBIN, class_name)["first_token_s"]["p99"]
     ours = comparison_row(results, GATEWAY, class_name)["first_token_s"]["p99"]
     return theirs / ours if theirs and ours else None
 
 
 def recomputed_ratio(results: Results, class_name: str) -> float | None:
-    """Return the gateway's recomputed tokens a repeated prompt over least load's."""
+    """Return the ratio of recomputed tokens per repeated prompt, gateway to least load."""
     ours, theirs = (comparison_row(results, policy, class_name) for policy in (GATEWAY, LEAST_LOAD))
     if not ours["repeated_prompts"] or not theirs["recomputed_tokens"]:
         return None
@@ -174,7 +175,7 @@
     )
 
 
-# Each target with the part of the results that it needs.
+# Evaluators with the part of the results that each needs.
 TARGET_EVALUATORS = (
     ("overload", _paying_kept),
     ("overload", _idle),
@@ -187,7 +188,7 @@
 
 
 def past_bounds(results: Results) -> list[str]:
-    """Return the regression bounds that the run is past."""
+    """Return the regression bounds that the results exceed."""
     lines: list[str] = []
     for name, each in results.items():
         review = REVIEW_BY_DEPLOYMENT[name]
--- a/bench/traffic.py
+++ b/bench/traffic.py
@@ -1,4 +1,4 @@
-"""Plan what the callers of a deployment send, and when."""
+"""Plan the requests of a deployment's callers and their times."""
 
 import math
 from collections.abc import Iterator
@@ -17,16 +17,16 @@
 
 PEAK_SHARE = 0.15
 FILLER = "grade premium lockfile warehouse "
-# As in a few much-discussed contracts and a tail of seldom read ones.
+# A few documents get most of the requests, followed by a long tail of rarely used ones.
 DOCUMENT_SKEW = 0.8
 
 
 @frozen(kw_only=True)
 class ClassTraffic:
-    """Describe one class's requests and what the callers expect of them."""
+    """One class's requests and the callers' expectations."""
 
     name: str
-    # Part of the engine requests; of plain services the requests a second, whatever the load.
+    # Share of the engine requests; for plain services the requests per second at any load.
     share: float
     due_after_s: float
     trial_due_after_s: float = 0.0
@@ -37,18 +37,18 @@
     question_bytes: int = 200
     output_tokens: int = 1
     repeatable: bool = True
-    # Weighs answers in the goodput.
+    # Weight of an answer in the goodput.
     weight: float = 1.0
 
     @property
     def is_chat(self) -> bool:
-        """Say whether the class goes to engines."""
+        """Return whether the class is served by engines."""
         return not self.service_path
 
 
 @frozen(kw_only=True)
 class DeploymentTraffic:
-    """Pair a deployment, sized for one machine, with its traffic."""
+    """A deployment, scaled down to one machine, and its traffic."""
 
     deployment: Deployment
     classes: tuple[ClassTraffic, ...]
@@ -57,7 +57,7 @@
     lost_region: str
 
     def class_named(self, name: str) -> ClassTraffic:
-        """Return one class's traffic."""
+        """Return the traffic of the class with this name."""
         return next(each for each in self.classes if each.name == name)
 
     @property
@@ -68,7 +68,7 @@
 
 @frozen(kw_only=True)
 class Arrival:
-    """Plan one request."""
+    """One planned request."""
 
     at_s: float
     class_name: str
@@ -80,7 +80,7 @@
 
 @frozen(kw_only=True)
 class Load:
-    """State the load of one scenario, as shares of the measured capacity."""
+    """The load of one scenario, as shares of the measured capacity."""
 
     name: str
     duration_s: float
@@ -92,7 +92,7 @@
 
 
 def arrivals(traffic: DeploymentTraffic, load: Load, capacity_per_s: float) -> list[Arrival]:
-    """Return the scenario's requests in the order of their times."""
+    """Return the scenario's requests in order of time."""
     found: list[Arrival] = []
     for rank, level in ((PAYING_ACCOUNT, load.paying), (TRIAL_ACCOUNT, load.trial)):
         for each in traffic.classes:
@@ -151,7 +151,7 @@
 
 
 def body_of(each: ClassTraffic, arrival: Arrival) -> dict[str, Any]:
-    """Return the request's body: a document shared with others, then an own question."""
+    """Return the request's body: a shared document followed by a question of its own."""
     if not each.is_chat:
         return {"marker": arrival.marker}
     return {
@@ -167,20 +167,20 @@
 
 
 def document_text(each: ClassTraffic, region: str, document: int) -> str:
-    """Return a document's text; each region has its own."""
+    """Return a document's text, which differs by region."""
     start = f"{each.name} {region} document {document}: "
     filler = FILLER * (each.document_bytes // len(FILLER) + 1)
     return (start + filler)[: each.document_bytes]
 
 
-def _sized(deployment: Deployment, *options: str) -> Deployment:
-    """Return the deployment with few slots, as all its processes share one machine."""
+def _scaled_down(deployment: Deployment, *options: str) -> Deployment:
+    """Return the deployment with few slots, because all its processes share one machine."""
     engines = evolve(deployment.pools[0], slots=4, options=options)
     return evolve(deployment, pools=(engines, *deployment.pools[1:]))
 
 
 RONDINELLA_TRAFFIC = DeploymentTraffic(
-    deployment=_sized(
+    deployment=_scaled_down(
         RONDINELLA, "--step-s", "0.003", "--prefill-tokens-per-step", "32", "--cache-blocks", "400"
     ),
     engine_pool="drafting",
@@ -224,7 +224,7 @@
 )
 
 VASKTORU_TRAFFIC = DeploymentTraffic(
-    deployment=_sized(
+    deployment=_scaled_down(
         VASKTORU, "--step-s", "0.005", "--prefill-tokens-per-step", "64", "--cache-blocks", "400"
     ),
     engine_pool="contracts",
--- a/tests/test_bench_losses.py
+++ b/tests/test_bench_losses.py
@@ -1,4 +1,4 @@
-"""The table of lost and late requests is made from log lines alone."""
+"""Tests of the table of lost and late requests that is computed from log lines."""
 
 import json
 
@@ -35,11 +35,11 @@
     return [" ".join(row.split()) for row in losses.rows()][1:]
 
 
-def test_request_on_time_is_no_loss() -> None:
+def test_request_on_time_is_not_listed() -> None:
     assert rows(ended(10)) == []
 
 
-def test_late_request_stands_with_what_was_expected_of_it() -> None:
+def test_late_request_is_listed_with_its_expected_first_answer() -> None:
     placed = line("relay placed", expected_first_answer_s=0.25)
     assert rows(placed, ended(10, late_by="pause")) == ["0 hint 1 0.25 0.50 late pause"]
 
@@ -56,9 +56,9 @@
     ]
 
 
-def test_forwarded_requests_count_where_they_came_in() -> None:
+def test_forwarded_request_counts_only_at_its_entry() -> None:
     assert rows(ended(10, forwarded_by="vm-b", late_by="pause")) == []
 
 
-def test_other_output_among_the_lines_is_left_aside() -> None:
+def test_other_output_is_ignored() -> None:
     assert rows("class  asked {in aim}\n", "no json\n", ended(10)) == []
--- a/tests/test_bench_measures.py
+++ b/tests/test_bench_measures.py
@@ -1,4 +1,4 @@
-"""The bench's figures are worked out as its page says."""
+"""Tests of the figures that the bench computes."""
 
 from typing import Any
 
@@ -24,7 +24,7 @@
 
 
 def record(at_s: float, first_token_s: float | None, *more: Answer) -> Record:
-    """Return a request answered after so many seconds, or refused."""
+    """Return a request that was answered with this time to first token, or refused if None."""
     outcome = Outcome.REFUSED if first_token_s is None else Outcome.ANSWERED
     first = Answer(
         outcome=outcome, kind="", sent_s=at_s, first_token_s=first_token_s, end_s=first_token_s
@@ -67,27 +67,27 @@
     assert measures.percentile([float(n) for n in range(1, 101)], percent) == expected
 
 
-def test_nothing_has_no_percentile() -> None:
+def test_no_values_have_no_percentile() -> None:
     assert measures.percentile([], 99) is None
 
 
-def test_a_second_try_does_not_make_up_for_a_refusal() -> None:
+def test_answered_second_try_does_not_meet_the_target() -> None:
     answered = Answer(outcome=Outcome.ANSWERED, kind="", sent_s=1.0, first_token_s=0.1, end_s=0.1)
     assert not measures.met_target(VASKTORU_TRAFFIC, record(0.0, None, answered))
 
 
-def test_a_first_read_of_a_document_is_not_recomputed() -> None:
+def test_first_prompt_of_a_document_is_not_repeated() -> None:
     first, again, other = run(0.0, 1.0), run(2.0, 3.0), run(4.0, 5.0, document=1)
     assert measures.repeated_runs([again, first, other]) == {again.arrival.marker}
 
 
-def test_recomputed_tokens_leave_out_the_question() -> None:
+def test_recomputed_tokens_exclude_the_question() -> None:
     each = VASKTORU_TRAFFIC.class_named("contract-review")
     assert measures.recomputed_tokens(each, run(0.0, 1.0, cached_tokens=3_840)) == 0
     assert measures.recomputed_tokens(each, run(0.0, 1.0, cached_tokens=1_280)) == 2_560
 
 
-def test_paying_work_that_waited_while_trial_began_is_counted() -> None:
+def test_paying_work_waiting_while_trial_work_starts_is_counted() -> None:
     waited = run(2.0, 3.0, at_s=1.0)
     trial = run(1.5, 1.9, rank="trial")
     assert measures.paying_waits(observed([waited, trial])) == {
@@ -98,7 +98,7 @@
     }
 
 
-def test_paying_work_that_started_at_once_did_not_wait() -> None:
+def test_paying_work_started_immediately_did_not_wait() -> None:
     counts = measures.paying_waits(observed([run(1.05, 2.0, at_s=1.0), run(0, 9, rank="trial")]))
     assert counts["waited"] == 0
     assert counts["waited_while_trial_ran"] == 0
@@ -111,17 +111,17 @@
     assert shares["filled_slots_share"] == pytest.approx(9.0 / 40.0)
 
 
-def test_the_longest_miss_spans_seconds_without_requests() -> None:
+def test_longest_miss_spans_seconds_without_requests() -> None:
     records = [record(0.5, 0.1), record(1.5, None), record(3.5, 9.0), record(4.5, 0.1)]
     assert measures.longest_miss_s(VASKTORU_TRAFFIC, records, 0.0, 10.0) == 3.0
 
 
-def test_second_tries_count_from_a_time_on() -> None:
+def test_second_tries_before_the_given_time_are_not_counted() -> None:
     early = Answer(outcome=Outcome.REFUSED, kind="", sent_s=1.0)
     late = Answer(outcome=Outcome.ANSWERED, kind="", sent_s=6.0, first_token_s=0.1, end_s=0.2)
     records = [record(0.0, None, early), record(0.0, None, late), record(0.0, 0.1)]
     assert measures.second_tries(records, 5.0) == {"made": 1, "answered": 1}
 
 
-def test_most_in_window_slides() -> None:
+def test_most_in_window_uses_a_sliding_window() -> None:
     assert measures.most_in_window([0.0, 1.0, 2.0, 9.0, 10.5, 11.0], 3.0) == 3
--- a/tests/test_bench_targets.py
+++ b/tests/test_bench_targets.py
@@ -1,4 +1,4 @@
-"""The bench fails past its bounds and names what it could not measure."""
+"""Tests of the bench's targets and regression bounds."""
 
 import copy
 from typing import Any
@@ -49,32 +49,32 @@
 
 @pytest.fixture
 def results() -> dict[str, Any]:
-    """Return results that meet everything."""
+    """Return results that meet all targets and bounds."""
     return copy.deepcopy(RESULTS)
 
 
-def test_everything_met(results: dict[str, Any]) -> None:
+def test_all_targets_met(results: dict[str, Any]) -> None:
     assert [each.is_met for each in targets.evaluate(results)] == [True] * 7
     assert targets.past_bounds(results) == []
 
 
-def test_what_was_not_run_is_not_judged(results: dict[str, Any]) -> None:
+def test_scenarios_that_were_not_run_are_not_evaluated(results: dict[str, Any]) -> None:
     del results["vasktoru"]["metered"], results["vasktoru"]["region_lost"]
     assert len(targets.evaluate(results)) == 5
 
 
-def test_a_slower_tail_than_round_robin_is_past_the_bound(results: dict[str, Any]) -> None:
+def test_slower_tail_than_round_robin_exceeds_the_bound(results: dict[str, Any]) -> None:
     results["vasktoru"]["scenarios"][2] = scenario("gateway", 4.0, 2_000)
     assert [each.split()[1] for each in targets.past_bounds(results)] == ["tail"]
 
 
-def test_lost_paying_work_is_past_the_bound(results: dict[str, Any]) -> None:
+def test_lost_paying_work_exceeds_the_bound(results: dict[str, Any]) -> None:
     met = results["vasktoru"]["overload"]["paying_met_overloaded"]["contract-review"]
     met["met"] = 90
     assert targets.past_bounds(results) == ["vasktoru: paying work kept 90.0%"]
 
 
-def test_what_could_not_be_measured_is_not_called_met(results: dict[str, Any]) -> None:
+def test_target_without_a_measurement_is_not_met(results: dict[str, Any]) -> None:
     results["vasktoru"]["overload"]["second_tries"] = {"made": 0, "answered": 0}
     assert targets.evaluate(results)[-1].verdict == "not measured"
 
@@ -88,6 +88,6 @@
         (Outcome.REFUSED, "account_limit", False),
     ],
 )
-def test_only_what_the_limit_let_through_counts(outcome: Outcome, kind: str, passed: bool) -> None:
+def test_only_admitted_requests_count(outcome: Outcome, kind: str, passed: bool) -> None:
     answer = Answer(outcome=outcome, kind=kind, sent_s=0.0)
     assert scenarios._passed_limit(answer) is passed
--- a/tests/test_bench_traffic.py
+++ b/tests/test_bench_traffic.py
@@ -1,4 +1,4 @@
-"""What the bench sends is the same for every policy and follows the day."""
+"""Tests of the bench's generated traffic."""
 
 from bench.traffic import RONDINELLA_TRAFFIC, VASKTORU_TRAFFIC, Load, arrivals, body_of
 from pomelobarrow.decision.token_estimates import prefix_hashes
@@ -16,7 +16,7 @@
 
 
 def test_paying_requests_are_the_same_with_and_without_trial_load() -> None:
-    # Else the share of what the paying load alone meets would compare different requests.
+    # Otherwise the comparison with the paying load alone would compare different requests.
     alone = Load(name="test", duration_s=30.0, paying=0.7)
     both = arrivals(VASKTORU_TRAFFIC, LOAD, 100.0)
     paying = [each for each in both if each.rank == "paying"]
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -1,4 +1,4 @@
-"""Load patterns of worst moments, played against the relay's own decisions."""
+"""Tests of the relay's placement decisions under replayed peak load patterns."""
 
 from collections.abc import Callable
 
@@ -33,12 +33,13 @@
     )
 
 
-def test_peak_of_one_region_leaves_its_streams_on_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A region's streams fill its two engines, and its long prompts are read there too.
+def test_peak_in_one_region_does_not_delay_its_streams(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against long prompts that pause the running streams of a busy region.
 
-    First answers are early, but whenever two or three long prompts meet at an engine, all of its
-    streams pause for longer than their target. Read in the regions that stand nearly idle, the
-    prompts delay nobody; without the cost of pauses they stay, as their own answers come first.
+    A region's streams fill its two engines. When two or three long prompts are prefilled on one
+    engine, all its streams pause for longer than their target, although first answers are early.
+    Nearly idle regions could prefill them without delaying other requests. If pauses have no cost,
+    the prompts are placed locally, because their own first answers come sooner there.
     """
     with_costs = sum(late_pauses(peak_in_one_region(seed)) for seed in SEEDS)
     monkeypatch.setattr(stream_pauses, "LATE_STREAM_COST", 0.0)
@@ -48,25 +49,27 @@
 
 
 @pytest.mark.parametrize("pattern", [two_peaks, many_vms])
-def test_long_prompts_are_placed_by_who_knows_their_server(
+def test_long_prompts_are_placed_by_the_coordinator_of_their_server(
     pattern: Callable[[int], list[ReplayResult]], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Many VMs send long prompts to a few engines, and hear of each other a second late or not.
+    """Guards against long prompts of several VMs that are placed on the same engine.
 
-    Each sends to an engine that seemed free, where the prompts of several VMs meet; its streams
-    pause while they are read. Passed to one VM for each engine, they are sent where that VM knows
-    that little is before them.
+    Many VMs place prompts on a few engines and receive each other's updates a second late or not at
+    all. Several then choose the same engine that seemed free, and its streams pause during the
+    prefill. Placed through one coordinating VM per engine, the prompts go to engines with little
+    queued work.
     """
     coordinated = [each for seed in SEEDS for each in pattern(seed)]
     monkeypatch.setattr(RemoteChoice, "coordinator", lambda *_: None)
-    each_by_itself = [each for seed in SEEDS for each in pattern(seed)]
-    assert late_pauses(coordinated) < 0.7 * late_pauses(each_by_itself)
+    uncoordinated = [each for seed in SEEDS for each in pattern(seed)]
+    assert late_pauses(coordinated) < 0.7 * late_pauses(uncoordinated)
 
 
 def test_engine_that_turns_slow_gets_fewer_streams(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An engine's steps take five times as long, while its first answers still come in time.
+    """Guards against placing streams on a slow engine because its first answers are on time.
 
-    Its streams pause too long, each of them; the other two engines could run them all.
+    The steps of one engine take five times as long, so that every stream on it pauses too long; the
+    other two engines could run all streams.
     """
     known = sum(on_time(slow_engine(seed), "hint", 0.8) for seed in SEEDS)
     monkeypatch.setattr("pomelobarrow.decision.server_pauses.ServerPauses.observe", lambda *_: None)
@@ -75,21 +78,23 @@
 
 
 def started_after_timeout(ended: list[ReplayResult]) -> int:
-    """Count the streams that were begun after their callers had left."""
+    """Return the number of streams that began after their callers had given up."""
     silence_limit_s = 3.2
     return sum(
         each.first_event_s is not None and each.first_event_s > silence_limit_s for each in ended
     )
 
 
-def test_overload_is_refused_before_callers_leave(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Twice as many streams come as the engine can run, for ten seconds.
+def test_overload_is_refused_before_callers_give_up(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against accepting so much work that callers give up before their first answers.
 
-    With all taken, soon every first answer comes after its caller has left, read and run in vain.
+    For ten seconds twice as many streams arrive as the engine can run. If all are accepted, soon
+    every first answer is computed after its caller has given up.
     """
     with_refusals = sum(started_after_timeout(overload(seed)) for seed in SEEDS)
     monkeypatch.setattr(
-        "pomelobarrow.decision.placement.is_worth_taking", lambda promise, expected_s, now: True
+        "pomelobarrow.decision.placement.is_worth_taking",
+        lambda expectations, expected_s, now: True,
     )
-    all_taken = sum(started_after_timeout(overload(seed)) for seed in SEEDS)
-    assert with_refusals < 0.2 * all_taken
+    all_accepted = sum(started_after_timeout(overload(seed)) for seed in SEEDS)
+    assert with_refusals < 0.2 * all_accepted
