--- a/bench/decisions/overload.py
+++ b/bench/decisions/overload.py
@@ -1,4 +1,4 @@
-"""Measure paying and trial work at twice the capacity."""
+"""Measure paying and trial work at an offered load of twice the capacity."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -21,7 +21,7 @@
 
 
 def run(seed: int, seconds: float, spec: RegionSpec = VASKTORU) -> dict[str, Any]:
-    """Compare the paying load alone, with trial work, and with trial work in the same rank."""
+    """Compare the paying load alone, with trial work, and with trial work of the same rank."""
     per_s = capacity_per_s(seed, spec)
     alone = _run(seed, seconds, spec, per_s, trial_rank=None)
     both = _run(seed, seconds, spec, per_s, trial_rank=Rank.TRIAL)
@@ -43,7 +43,7 @@
 
 
 def capacity_per_s(seed: int, spec: RegionSpec) -> float:
-    """Return the requests a second that the region finishes when flooded."""
+    """Return the requests per second that the saturated region finishes."""
     region = FakeRegion(Clock(), spec, SHIPPED, seed, REVIEW.pool)
     _feed(region, seed, {REVIEW: 20.0, QUERY: 20.0 * QUERIES_PER_REVIEW}, 60.0)
     region.clock.run_until(60.0)
@@ -64,7 +64,7 @@
     idle_engines: list[float] = []
     busy: list[float] = []
 
-    def look() -> None:
+    def sample() -> None:
         trial_waits = any(d.queue.waiting(Rank.TRIAL) for d in region.daemons)
         slots = sum(e.idle_slots for e in region.engines.values())
         busy.append(1.0 - slots / (spec.slots * spec.servers))
@@ -72,7 +72,7 @@
             idle_engines.append(sum(not e.running for e in region.engines.values()) / spec.servers)
             idle.append(slots / (spec.slots * spec.servers))
 
-    region.clock.every(SAMPLE_EVERY_S, WARM_UP_S, look)
+    region.clock.every(SAMPLE_EVERY_S, WARM_UP_S, sample)
     region.clock.run_until(seconds)
     records = [r for r in region.records if WARM_UP_S < r.work.accepted_unix_s < seconds - 10.0]
     paying = [r for r in records if r.work.class_name in ("review", "query")]
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -1,4 +1,4 @@
-"""Measure what a daemon adds: latency, CPU and memory, beside a bare relay in the same run."""
+"""Measure a daemon's latency, CPU and memory overhead beside a bare relay in the same run."""
 
 import argparse
 import asyncio
@@ -33,7 +33,7 @@
 SINGLE_TOKENS = 20
 MS = 1e3
 US = 1e6
-# Seen from run to run the ratios vary by a tenth; past these something was made slower.
+# The ratios vary by a tenth from run to run; larger ones than these indicate a regression.
 LARGEST_RATIOS = {"cpu_per_request": 2.0, "cpu_per_token": 1.3}
 DEPLOYMENT = evolve(
     RONDINELLA,
@@ -48,8 +48,8 @@
 
 
 @frozen(kw_only=True)
-class Way:
-    """Name one way to the engine and the processes on it that are measured."""
+class Variant:
+    """One path to the engine and the processes on it that are measured."""
 
     name: str
     address: str
@@ -64,7 +64,7 @@
 
 @frozen(kw_only=True)
 class Timing:
-    """Hold one streamed answer's times."""
+    """The times of one streamed answer."""
 
     first_token_s: float
     gaps_s: tuple[float, ...]
@@ -72,7 +72,7 @@
 
 @define(kw_only=True)
 class Samples:
-    """Collect one way's measurements over all rounds."""
+    """The measurements of one variant over all rounds."""
 
     idle_cpu_share: float = 0.0
     first_token_s: list[float] = field(factory=list)
@@ -83,7 +83,7 @@
 
 @frozen(kw_only=True)
 class Figures:
-    """Hold one way's figures."""
+    """The results of one variant; field names are keys of the results file."""
 
     first_token_ms: float
     first_token_p99_ms: float
@@ -94,7 +94,7 @@
     idle_cpu_percent: float
 
 
-async def ask(session: aiohttp.ClientSession, way: Way, tokens: int) -> Timing:
+async def send_request(session: aiohttp.ClientSession, variant: Variant, tokens: int) -> Timing:
     """Send one streamed request and time its events."""
     body = {
         "model": "draft-large",
@@ -107,40 +107,42 @@
     }
     sent_s = time.perf_counter()
     times_s: list[float] = []
-    url = f"http://{way.address}/v1/chat/completions"
-    async with session.post(url, json=body, headers=way.headers) as response:
+    url = f"http://{variant.address}/v1/chat/completions"
+    async with session.post(url, json=body, headers=variant.headers) as response:
         response.raise_for_status()
         ended = b""
         async for chunk in response.content.iter_any():
             times_s.append(time.perf_counter())
             ended = chunk
     if not ended.endswith(b"data: [DONE]\n\n"):
-        raise RuntimeError(f"{way.name}: an answer broke off")
+        raise RuntimeError(f"{variant.name}: answer ended without [DONE]")
     gaps_s = (later - earlier for earlier, later in zip(times_s, times_s[1:], strict=False))
     return Timing(first_token_s=times_s[0] - sent_s, gaps_s=tuple(gaps_s))
 
 
-async def load(session: aiohttp.ClientSession, way: Way, requests: int, tokens: int) -> float:
-    """Send requests, a few at a time; return the CPU seconds that this took."""
+async def load(
+    session: aiohttp.ClientSession, variant: Variant, requests: int, tokens: int
+) -> float:
+    """Send requests, `IN_FLIGHT` at a time, and return the CPU seconds used."""
     left = iter(range(requests))
 
     async def send_next() -> None:
         for _ in left:
-            await ask(session, way, tokens)
+            await send_request(session, variant, tokens)
 
-    cpu_before_s = way.cpu_s()
+    cpu_before_s = variant.cpu_s()
     await asyncio.gather(*(send_next() for _ in range(IN_FLIGHT)))
-    return way.cpu_s() - cpu_before_s
+    return variant.cpu_s() - cpu_before_s
 
 
-async def measure_round(session: aiohttp.ClientSession, way: Way, samples: Samples) -> None:
-    """Take one round of a way's measurements."""
+async def measure_round(session: aiohttp.ClientSession, variant: Variant, samples: Samples) -> None:
+    """Run one round of a variant's measurements."""
     for _ in range(SINGLE_REQUESTS):
-        timing = await ask(session, way, SINGLE_TOKENS)
+        timing = await send_request(session, variant, SINGLE_TOKENS)
         samples.first_token_s.append(timing.first_token_s)
         samples.gap_s += timing.gaps_s
-    short_s = await _load_beyond_idle(session, way, samples, SHORT_REQUESTS, SHORT_TOKENS)
-    long_s = await _load_beyond_idle(session, way, samples, LONG_REQUESTS, LONG_TOKENS)
+    short_s = await _load_beyond_idle(session, variant, samples, SHORT_REQUESTS, SHORT_TOKENS)
+    long_s = await _load_beyond_idle(session, variant, samples, LONG_REQUESTS, LONG_TOKENS)
     per_request_s = short_s / SHORT_REQUESTS
     tokens_s = long_s - per_request_s * LONG_REQUESTS
     samples.cpu_per_request_s.append(per_request_s)
@@ -148,23 +150,23 @@
 
 
 async def _load_beyond_idle(
-    session: aiohttp.ClientSession, way: Way, samples: Samples, requests: int, tokens: int
+    session: aiohttp.ClientSession, variant: Variant, samples: Samples, requests: int, tokens: int
 ) -> float:
     started_s = time.perf_counter()
-    cpu_s = await load(session, way, requests, tokens)
+    cpu_s = await load(session, variant, requests, tokens)
     return cpu_s - samples.idle_cpu_share * (time.perf_counter() - started_s)
 
 
-async def measure_idle(ways: list[Way], samples: dict[str, Samples]) -> None:
-    """Measure what the processes use while no request is there."""
-    before_s = [way.cpu_s() for way in ways]
+async def measure_idle(variants: list[Variant], samples: dict[str, Samples]) -> None:
+    """Measure the CPU that the processes use without requests."""
+    before_s = [variant.cpu_s() for variant in variants]
     await asyncio.sleep(IDLE_S)
-    for way, cpu_s in zip(ways, before_s, strict=True):
-        samples[way.name].idle_cpu_share = (way.cpu_s() - cpu_s) / IDLE_S
+    for variant, cpu_s in zip(variants, before_s, strict=True):
+        samples[variant.name].idle_cpu_share = (variant.cpu_s() - cpu_s) / IDLE_S
 
 
 def figures(samples: Samples) -> Figures:
-    """Return a way's figures: medians over the rounds, and the tails."""
+    """Return a variant's figures: medians over the rounds, and 99th percentiles."""
     return Figures(
         first_token_ms=MS * statistics.median(samples.first_token_s),
         first_token_p99_ms=MS * _percentile(samples.first_token_s, 99),
@@ -181,7 +183,7 @@
 
 
 def ratios(samples: Samples, relay: Samples) -> dict[str, float]:
-    """Return what a way costs beside the relay, as the median of the rounds' ratios."""
+    """Return a variant's CPU relative to the bare relay, as the median of the rounds' ratios."""
     pairs = {
         "cpu_per_request": (samples.cpu_per_request_s, relay.cpu_per_request_s),
         "cpu_per_token": (samples.cpu_per_token_s, relay.cpu_per_token_s),
@@ -197,7 +199,7 @@
 
 
 async def measure() -> dict[str, Any]:
-    """Start everything, measure every way in turn and return the results."""
+    """Start the processes, measure all variants in turn and return the results."""
     async with Fleet(DEPLOYMENT) as fleet, aiohttp.ClientSession() as session:
         engine = fleet.servers["drafting-milan-1"]
         (relay_port,) = free_ports(1)
@@ -205,30 +207,32 @@
             "relay",
             ("bench.bare_relay", "--port", str(relay_port), "--target", engine.advertised),
         )
-        ways = _ways(fleet, engine.advertised, f"{HOST}:{relay_port}")
-        await _wait_until_served(session, ways)
-        daemon = ways[2].processes[0]
+        variants = _variants(fleet, engine.advertised, f"{HOST}:{relay_port}")
+        await _wait_until_served(session, variants)
+        daemon = variants[2].processes[0]
         idle_mb = _memory_mb(daemon)
-        samples = {way.name: Samples() for way in ways}
-        await measure_idle(ways, samples)
+        samples = {variant.name: Samples() for variant in variants}
+        await measure_idle(variants, samples)
         for _ in range(ROUNDS):
-            for way in ways:
-                await measure_round(session, way, samples[way.name])
+            for variant in variants:
+                await measure_round(session, variant, samples[variant.name])
         results = _results(samples, idle_mb, _memory_mb(daemon))
         return results | {"machine": {"cores": os.cpu_count(), "load_1min": os.getloadavg()[0]}}
 
 
-def _ways(fleet: Fleet, engine: str, relay: str) -> list[Way]:
+def _variants(fleet: Fleet, engine: str, relay: str) -> list[Variant]:
     home, other = (fleet.in_region(region)[0] for region in DEPLOYMENT.regions)
     process = {
         name: psutil.Process(fleet.processes.running[name].pid) for name in (home, other, "relay")
     }
     headers = fleet.headers("paying-milan", "draft")
     return [
-        Way(name="direct", address=engine, headers={}),
-        Way(name="relay", address=relay, headers={}, processes=(process["relay"],)),
-        Way(name="one", address=fleet.direct(home), headers=headers, processes=(process[home],)),
-        Way(
+        Variant(name="direct", address=engine, headers={}),
+        Variant(name="relay", address=relay, headers={}, processes=(process["relay"],)),
+        Variant(
+            name="one", address=fleet.direct(home), headers=headers, processes=(process[home],)
+        ),
+        Variant(
             name="two",
             address=fleet.direct(other),
             headers=headers,
@@ -237,11 +241,11 @@
     ]
 
 
-async def _wait_until_served(session: aiohttp.ClientSession, ways: list[Way]) -> None:
-    for way in ways:
+async def _wait_until_served(session: aiohttp.ClientSession, variants: list[Variant]) -> None:
+    for variant in variants:
         while True:
             try:
-                await ask(session, way, SHORT_TOKENS)
+                await send_request(session, variant, SHORT_TOKENS)
                 break
             except aiohttp.ClientError:
                 await asyncio.sleep(0.1)
@@ -259,7 +263,7 @@
 
 
 def missed(results: dict[str, Any]) -> list[str]:
-    """Return the aims that one daemon misses."""
+    """Return the aims that the single daemon misses."""
     ratios_of_one = results["ratios_to_relay"]["one"]
     return [
         f"{name}: {ratios_of_one[name]:.2f}, aim {aim}"
@@ -274,7 +278,7 @@
 
 
 def main() -> int:
-    """Measure, print, and with --check fail where an aim is missed."""
+    """Measure and print the results; with --check, fail if an aim is missed."""
     parser = argparse.ArgumentParser(prog="bench.overhead")
     parser.add_argument("--check", action="store_true", help="fail where an aim is missed")
     parser.add_argument("--write", action="store_true", help="write the results and the page")
--- a/bench/profile/daemon.py
+++ b/bench/profile/daemon.py
@@ -1,4 +1,4 @@
-"""Run the daemon's program and read what it has used."""
+"""Start a daemon process and read its resource usage."""
 
 import pstats
 import re
@@ -9,7 +9,7 @@
 import yaml
 from attrs import frozen
 
-from bench.profile.peers import Place
+from bench.profile.peers import FleetNode
 from harness.processes import Processes
 
 TICKS_PER_S = 100.0
@@ -21,21 +21,21 @@
 
 
 @frozen(kw_only=True)
-class Used:
-    """Hold what a process has used since its start."""
+class Usage:
+    """Resource usage of a process since its start."""
 
     cpu_s: float
-    # How often it went to sleep: each time it is woken once.
+    # Voluntary context switches: the process is woken once after each.
     wakeups: int
     resident_mb: float
     anonymous_mb: float
-    # Payload on the connections to peers that are open now, both ways.
+    # Payload of the currently open connections to peers, in both directions.
     peer_bytes: int
 
 
 @frozen(kw_only=True)
 class Ports:
-    """Hold the ports of every VM of the fleet, each at its own address."""
+    """Ports of the VMs, the same on each because every VM has its own address."""
 
     peer: int
     front: int
@@ -47,23 +47,23 @@
 
 @frozen(kw_only=True)
 class Calls:
-    """Hold how often a profiled daemon called functions."""
+    """Function call counts of a profiled daemon."""
 
     all: int
     placings: int
-    # Of all placings, with everything that they called.
+    # Share of the profiled time spent in placements, callees included.
     in_placings_share: float
 
 
 def settings(
-    place: Place, ports: Ports, seeds: list[str], store: str, fleet: list[Place]
+    node: FleetNode, ports: Ports, seeds: list[str], store: str, fleet: list[FleetNode]
 ) -> dict[str, Any]:
-    """Return the settings file that the platform would lay."""
+    """Return the settings that the platform would write for a VM."""
     listen = {
-        "Front": f"{place.ip}:{ports.front}",
-        "Ready": f"{place.ip}:{ports.ready}",
-        "Control": f"{place.ip}:{ports.peer}",
-        "Directory": f"{place.ip}:{ports.directory}",
+        "Front": f"{node.ip}:{ports.front}",
+        "Ready": f"{node.ip}:{ports.ready}",
+        "Control": f"{node.ip}:{ports.peer}",
+        "Directory": f"{node.ip}:{ports.directory}",
     }
     bounds = {
         "GraceS": 8,
@@ -73,10 +73,10 @@
         "ttl_max_s": 5,
     }
     return {
-        "Node": place.vm,
-        "Ip": place.ip,
-        "Zone": place.failure_domain,
-        "Region": place.region,
+        "Node": node.vm,
+        "Ip": node.ip,
+        "Zone": node.failure_domain,
+        "Region": node.region,
         "Zones": {each.failure_domain: each.region for each in fleet},
         "Listen": listen,
         "InternalPorts": [ports.hop, ports.hop],
@@ -87,20 +87,24 @@
 
 
 def start(
-    processes: Processes, place: Place, laid: dict[str, Any], metrics_port: int, profile: str
+    processes: Processes,
+    node: FleetNode,
+    settings_values: dict[str, Any],
+    metrics_port: int,
+    profile: str,
 ) -> int:
-    """Start the program on its settings, with a profile where a file is named; return its pid."""
-    path = processes.folder / f"{place.vm}.yaml"
-    path.write_text(yaml.safe_dump(laid))
+    """Start the daemon with its settings, profiled if a profile file is named; return its pid."""
+    path = processes.folder / f"{node.vm}.yaml"
+    path.write_text(yaml.safe_dump(settings_values))
     arguments = ["harness.serve", str(path), str(metrics_port), *([profile] if profile else [])]
-    return processes.start(place.vm, arguments, announces=False).pid
+    return processes.start(node.vm, arguments, announces=False).pid
 
 
-def read(pid: int, peer_port: int) -> Used:
-    """Return what a process has used."""
+def read(pid: int, peer_port: int) -> Usage:
+    """Return the resource usage of a process."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     status = Path(f"/proc/{pid}/status").read_text()
-    return Used(
+    return Usage(
         cpu_s=(int(fields[11]) + int(fields[12])) / TICKS_PER_S,
         wakeups=int(_find(_SWITCHES, status)),
         resident_mb=_find(_RESIDENT, status) / KB_PER_MB,
@@ -110,7 +114,7 @@
 
 
 def read_calls(path: Path) -> Calls:
-    """Return the calls that a profile counted."""
+    """Return the call counts of a profile."""
     stats = pstats.Stats(str(path))
     placing = [
         values
--- a/bench/scenarios.py
+++ b/bench/scenarios.py
@@ -1,4 +1,4 @@
-"""Run the scenarios of one deployment on real daemons."""
+"""Fleets of real daemons and the scenarios that run on them."""
 
 import asyncio
 import hashlib
@@ -25,12 +25,12 @@
 LEAST_LOAD = "least-load"
 METERED = "metered"
 METERED_PER_S = 8.0
-# Offered by all regions together, as a multiple of the account's limit.
+# Load offered by all regions together, as a multiple of the account's limit.
 METERED_OFFERED = 3.0
 LIMIT_WINDOW_S = 10.0
 ACCOUNT_LIMIT = "account_limit"
 METERED_S = 13.0
-# Demand that is new everywhere is known everywhere after this.
+# After this time every VM has received the demand of all others.
 METERED_KNOWN_S = 3.0
 MOVES_EVERY = 80
 RAMP_S = 3.0
@@ -41,7 +41,7 @@
 
 @frozen(kw_only=True)
 class Durations:
-    """State how long each part takes."""
+    """Durations of the parts of a run."""
 
     calibration_s: float
     comparison_s: float
@@ -74,12 +74,12 @@
 
 @define
 class BenchFleet(Fleet):
-    """Hold a deployment whose daemons use one policy."""
+    """A deployment whose daemons all use one policy."""
 
     policy: str = GATEWAY
 
     def start_entry(self, vm: str) -> None:
-        """Start an entry VM's daemon, with the baseline's plug-in where one is named."""
+        """Start an entry VM's daemon, with the plug-in of the baseline policy if one is set."""
         if self.policy == GATEWAY:
             super().start_entry(vm)
             return
@@ -91,7 +91,7 @@
 
 @define(kw_only=True)
 class Bench:
-    """Hold one fleet, its callers' session and the measured capacity."""
+    """One fleet, the session of its callers and the measured capacity."""
 
     fleet: BenchFleet
     traffic: DeploymentTraffic
@@ -123,13 +123,13 @@
             if server.pool.name == self.traffic.engine_pool
         ]
 
-    def say(self, text: str) -> None:
-        """Tell on stderr how far the bench is."""
+    def log_progress(self, text: str) -> None:
+        """Print a progress line to stderr."""
         name, policy = self.traffic.deployment.name, self.fleet.policy
         print(f"{time.strftime('%X')} {name} {policy}: {text}", file=sys.stderr, flush=True)
 
     async def calibrate(self) -> float:
-        """Measure the engine requests a second that full engines answer."""
+        """Measure the requests per second that saturated engines answer."""
         duration_s = self.durations.calibration_s
         load = Load(
             name=f"calibration-{self.fleet.policy}",
@@ -150,7 +150,7 @@
                     tasks.create_task(_keep_sending(callers, queue, duration_s, ended_s))
         counted = [each for each in ended_s if warm_s <= each < duration_s]
         self.capacity_per_s = len(counted) / (duration_s - warm_s)
-        self.say(f"capacity {self.capacity_per_s:.1f} requests a second")
+        self.log_progress(f"capacity {self.capacity_per_s:.1f} requests a second")
         return self.capacity_per_s
 
     async def run(
@@ -159,9 +159,9 @@
         fault: FaultStarter | None = None,
         planned: list[Arrival] | None = None,
     ) -> Observed:
-        """Run one scenario, with a fault on the way, and keep what it left behind."""
+        """Run one scenario, optionally with a fault, and keep its records and engine runs."""
         planned = planned or arrivals(self.traffic, load, self.capacity_per_s)
-        self.say(f"{load.name}: {len(planned)} requests")
+        self.log_progress(f"{load.name}: {len(planned)} requests")
         callers, started_unix_s = self.callers(), time.time()
         faulting = asyncio.create_task(fault()) if fault else None
         records = await callers.send_all(planned)
@@ -182,18 +182,18 @@
         return observed
 
     async def metered(self) -> dict[str, Any]:
-        """Offer an account thrice its limit at VMs of all regions; count what got through."""
+        """Offer three times an account's limit at VMs of all regions and return the overshoot."""
         account = _metered_account()
         await self.fleet.publish("config", {f"accounts/{METERED}": account})
         await asyncio.sleep(2.0 * SETTLE_S)
         return {
             "limit_per_s": METERED_PER_S,
             "offered_per_s": METERED_PER_S * METERED_OFFERED,
-            "even": await self._offer("even", _even_place),
-            "moving": await self._offer("moving", _moving_place),
+            "even": await self._offer("even", _even_region_index),
+            "moving": await self._offer("moving", _moving_region_index),
         }
 
-    async def _offer(self, name: str, place: Callable[[int, int], int]) -> dict[str, float]:
+    async def _offer(self, name: str, region_index: Callable[[int, int], int]) -> dict[str, float]:
         each = next(c for c in self.traffic.classes if not c.is_chat)
         rate_per_s = METERED_PER_S * METERED_OFFERED
         regions = self.traffic.deployment.regions
@@ -202,7 +202,7 @@
                 at_s=number / rate_per_s,
                 class_name=each.name,
                 rank=PAYING_ACCOUNT,
-                region=regions[place(number, len(regions))],
+                region=regions[region_index(number, len(regions))],
                 document=0,
                 marker=f"metered/{name}/{number}",
             )
@@ -250,9 +250,10 @@
 
 
 def _passed_limit(answer: Answer) -> bool:
-    """Say whether an account's limit let a request through, whatever became of it then.
+    """Return whether the account limit admitted a request, whatever its outcome.
 
-    A refusal of work under an issued id says "unknown" where another VM keeps the id's outcome.
+    A refused request with an issued id has the outcome unknown if another VM keeps the id's
+    outcome; its kind still identifies the limit.
     """
     may_have_run = answer.outcome in (Outcome.ANSWERED, Outcome.UNKNOWN)
     return may_have_run and answer.kind != ACCOUNT_LIMIT
@@ -263,10 +264,10 @@
     return round(most / (METERED_PER_S * LIMIT_WINDOW_S) - 1.0, 4)
 
 
-def _even_place(number: int, regions: int) -> int:
+def _even_region_index(number: int, regions: int) -> int:
     return number % regions
 
 
-def _moving_place(number: int, regions: int) -> int:
-    """Move two thirds of the demand from region to region every few seconds."""
+def _moving_region_index(number: int, regions: int) -> int:
+    """Shift two thirds of the demand to the next region every `MOVES_EVERY` requests."""
     return (number // MOVES_EVERY + (number % 3 == 0)) % regions
