--- a/bench/sending.py
+++ b/bench/sending.py
@@ -13,7 +13,12 @@
 from bench.traffic import Arrival, ClassTraffic, DeploymentTraffic, body_of
 from harness.deployments import TRIAL_ACCOUNT, token_of
 from pomelobarrow.standin.load_entries import EntryBook, NoEntryError
-from pomelobarrow.standin.load_results import Outcome, judge_chat, judge_service, parse_object
+from pomelobarrow.standin.load_results import (
+    Outcome,
+    classify_chat_answer,
+    classify_service_answer,
+    parse_object,
+)
 
 CHAT_PATH = "/v1/chat/completions"
 CONNECT_TIMEOUT_S = 1.0
@@ -158,9 +163,9 @@
             first_token_s = self.now_s() - sent_s
             data = first + await response.read()
         if each.is_chat:
-            outcome, kind = judge_chat(body, response.status, response.content_type, data)
+            outcome, kind = classify_chat_answer(body, response.status, response.content_type, data)
         else:
-            outcome, kind = judge_service(body, response.status, data)
+            outcome, kind = classify_service_answer(body, response.status, data)
         is_answered = outcome is Outcome.ANSWERED
         return Answer(
             outcome=outcome,
