--- a/src/pomelobarrow/decision/load_table.py
+++ b/src/pomelobarrow/decision/load_table.py
@@ -18,7 +18,7 @@
 from pomelobarrow.decision.service_times import ServiceTimes
 from pomelobarrow.decision.work import BackendServer, InFlight, LoadReport
 
-HEARTBEAT_GAP_EWMA_WEIGHT = 0.1
+GAP_EWMA_WEIGHT = 0.1
 MAX_HEARTBEAT_GAP_S = 5.0
 # A partial report is sent to peers with the next heartbeat; an older one is out of date.
 MAX_PARTIAL_REPORT_AGE_S = 2.0
@@ -82,9 +82,7 @@
         self._servers = listed
         self.limits.keep_only(listed.values())
         pools = {server.pool for server in self._servers.values()}
-        self._pools = {
-            pool: tuple(s for s in self._servers.values() if s.pool == pool) for pool in pools
-        }
+        self._pools = {p: tuple(s for s in self._servers.values() if s.pool == p) for p in pools}
         for name in self._servers:
             self._loads.setdefault(name, ServerLoad())
             self._health.setdefault(name, ServerHealth())
@@ -103,10 +101,8 @@
             return
         clock = self._clocks[report.server]
         measured_unix_s = clock.local_unix_s(report.measured_unix_s, received_unix_s)
-        peer_counts = {
-            vm: peer.near(report.server, measured_unix_s) for vm, peer in self._peers.items()
-        }
-        load.observe_report(report, measured_unix_s, peer_counts)
+        counts = {vm: peer.near(report.server, measured_unix_s) for vm, peer in self._peers.items()}
+        load.observe_report(report, measured_unix_s, counts)
 
     def observe_partial_report(self, report: LoadReport, now_unix_s: float) -> None:
         """Update a server's load by a report that came with an answer, and keep it for peers."""
@@ -116,18 +112,14 @@
     def partial_reports(self, now_unix_s: float) -> list[LoadReport]:
         """Return the recent partial reports that this VM received from servers."""
         oldest_unix_s = now_unix_s - MAX_PARTIAL_REPORT_AGE_S
-        return [
-            each for each in self._partial_reports.values() if each.measured_unix_s >= oldest_unix_s
-        ]
+        return [r for r in self._partial_reports.values() if r.measured_unix_s >= oldest_unix_s]
 
     def observe_peer(self, vm: str, in_flight: Mapping[str, InFlight], now_unix_s: float) -> None:
         """Update a peer's requests in flight on each server."""
         old = self._peers.get(vm, PeerCounts())
         if vm in self._peers:
             gap_s = min(now_unix_s - old.latest_unix_s, MAX_HEARTBEAT_GAP_S)
-            self._mean_heartbeat_gap_s += HEARTBEAT_GAP_EWMA_WEIGHT * (
-                gap_s - self._mean_heartbeat_gap_s
-            )
+            self._mean_heartbeat_gap_s += GAP_EWMA_WEIGHT * (gap_s - self._mean_heartbeat_gap_s)
         self._peers[vm] = old.after(in_flight, now_unix_s)
         for name in old.latest.keys() | in_flight.keys():
             load = self._loads.get(name)
@@ -146,12 +138,7 @@
             load.forget_peer(vm, peer.latest.get(name, NOTHING))
 
     def charge(
-        self,
-        request_id: str,
-        server_name: str,
-        tokens: int,
-        now_unix_s: float,
-        kv_tokens: int = 0,
+        self, request_id: str, server_name: str, tokens: int, now_unix_s: float, kv_tokens: int = 0
     ) -> None:
         """Add a placement: its uncached prompt tokens, and the KV cache tokens it may use."""
         self.release(request_id, now_unix_s)
@@ -226,8 +213,7 @@
     def usable_servers(self, pool: str, now_unix_s: float) -> Sequence[BackendServer]:
         """Return the servers of a pool that may get new work, without computing their states."""
         staying = [s for s in self.pool_servers(pool) if not self._is_leaving(s)]
-        # An expired lease doesn't prove that a server is gone, but servers with valid leases are
-        # preferred.
+        # An expired lease doesn't prove a server gone, but servers with valid leases are preferred.
         staying = [s for s in staying if not s.is_lease_expired] or staying
         healthy = [s for s in staying if not self._health[s.name].is_ejected(now_unix_s)]
         # If every server is ejected, the fault is more likely on this side. All of them are tried
@@ -251,13 +237,11 @@
         times = self.service_times(pool)
         # In a steady state as many requests start as end. Both counts are random, each with its
         # square root as standard deviation.
-        unseen_share = 2.0 * self.view_age_s / max(times.hold_s, 1e-3)
+        turnover = 2.0 * self.view_age_s / max(times.hold_s, 1e-3)
         pool_prefill_share = self.prefill_rates.share_of_pool(
             pool, len(self.pool_servers(pool)), times.s_per_prefill_token, now_unix_s
         )
-        return [
-            self._state(s, unseen_share, pool_prefill_share, times, now_unix_s) for s in servers
-        ]
+        return [self._state(s, turnover, pool_prefill_share, times, now_unix_s) for s in servers]
 
     @property
     def view_age_s(self) -> float:
@@ -318,7 +302,7 @@
     def _state(
         self,
         server: BackendServer,
-        unseen_share: float,
+        turnover: float,
         pool_prefill_share: float,
         times: ServiceTimes,
         now_unix_s: float,
@@ -331,7 +315,7 @@
             server=server,
             requests=load.own_requests + others,
             others_requests=others,
-            requests_deviation=math.sqrt(others * unseen_share),
+            requests_deviation=math.sqrt(others * turnover),
             own_tokens=load.own_tokens,
             others_tokens=others_tokens,
             kv_tokens=load.own_kv_tokens + round(others * times.kv_tokens),
@@ -346,9 +330,8 @@
         """Return the estimated number of requests that all other VMs have on a server.
 
         A partial report counts while the requests that it covered are still running; its weight
-        decays with the mean request duration. Peers' counts are as good if all VMs send theirs to
-        this one. In a large region only some do: in one of 65 VMs the counts of 14 separate a full
-        server from an empty one only by chance.
+        decays with the mean request duration. Peers' counts are as good only if all VMs send them
+        here: in one of 65 VMs, those of 14 separate a full server from an empty one only by chance.
         """
         known = max(0, load.requests(now_unix_s) - load.own_requests)
         if not load.has_partial_report:
