--- a/src/pomelobarrow/decision/__init__.py
+++ b/src/pomelobarrow/decision/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decision logic: events and a view in, verdicts out. No I/O, no clock, no other room."""
+"""Pure decision logic: no I/O, no clock, and no imports from other packages of pomelobarrow."""
--- a/src/pomelobarrow/decision/admission.py
+++ b/src/pomelobarrow/decision/admission.py
@@ -25,7 +25,7 @@
 ) -> Result[Work, Refusal]:
     """Count the work against its account and return it, or return the refusal.
 
-    Whoever admits a request must call `limits.release` exactly once when it ends.
+    `limits.release` must be called exactly once when an admitted request ends.
     """
     refusal = refuse_unservable(
         work,
--- a/src/pomelobarrow/decision/cold_start.py
+++ b/src/pomelobarrow/decision/cold_start.py
@@ -1,4 +1,4 @@
-"""Limit the rate of requests to a cold backend server."""
+"""Limit the rate of requests to a cold (recently started) backend server."""
 
 from collections.abc import Iterable
 
--- a/src/pomelobarrow/decision/coordinators.py
+++ b/src/pomelobarrow/decision/coordinators.py
@@ -2,10 +2,10 @@
 
 Where 65 VMs send a region's long prompts to 18 engines, each VM receives the load of only a quarter
 of the others, a second late. Its estimate then doesn't predict when an engine answers: long prompts
-meet at one engine while the next is idle, and some are refused without need. Forwarded to one VM
-per server, they are placed by a VM that has sent the server all its pending prompt tokens and knows
-which prompts it has cached. With 60 VMs, 119 of 4,900 streams pause too long, against 280 if every
-VM places its own prompts.
+queue at one engine while another is idle, and some are refused unnecessarily. So they are forwarded
+to one VM per server, which has itself sent all the prompt tokens pending there and can tell which
+prompts the server has cached. With 60 VMs, 119 of 4,900 streams pause too long, against 280 if
+every VM places its own prompts.
 """
 
 from collections.abc import Iterable
--- a/src/pomelobarrow/decision/crash_suspects.py
+++ b/src/pomelobarrow/decision/crash_suspects.py
@@ -17,12 +17,13 @@
 # another server; after the third, the request is blocked.
 CRASHES_TO_SUSPECT = 2
 CRASHES_TO_BLOCK = 3
-# A request that crashes servers is never answered. An answer clears a request of all crashes before
-# it and for this long after it: servers that fail together are detected over that time.
+# A request that crashes servers is never answered, so an answer clears a request of all crashes
+# before it. It also clears crashes up to this long after it, because servers that fail together are
+# detected one after another over that time.
 ANSWER_CLEARS_FOR_S = 10.0
 ANSWER_RETENTION_S = 600.0
 # A request that was blocked wrongly must be unblocked. After these times, by number of crashes, it
-# is admitted once as a trial. Each crash costs dozens of other requests, so two trials are enough.
+# is admitted once as a trial. Each crash ends dozens of other requests, so two trials are enough.
 TRIAL_AFTER_S = {3: 60.0, 4: 600.0}
 # Each VM may run one trial in its turn; all VMs have received the result before the next turn.
 TRIAL_TURN_S = 5.0
@@ -32,7 +33,7 @@
 # VMs detect the same crash at slightly different times. On platforms that report no start time a
 # restarted server has the same key, but a restart takes longer than this.
 SAME_CRASH_WITHIN_S = 1.0
-# A caller that changes its request body each time adds an entry with each server that it crashes.
+# A caller that changes its request body each time adds one entry per server that it crashes.
 # Entries with the fewest crashes are evicted first, in batches, since selection sorts all entries.
 MAX_SUSPECTS = 4_096
 EVICTION_BATCH = 512
@@ -40,7 +41,7 @@
 
 
 class Suspicion(enum.Enum):
-    """How far a request is restricted."""
+    """The degrees to which a request is restricted because of crashes."""
 
     NONE = "none"
     # The request may be sent to one server, but is not retried if that server crashes.
@@ -116,7 +117,7 @@
         return self._note_answered(Answered(fingerprint=fingerprint, answered_unix_s=now_unix_s))
 
     def suspicion(self, fingerprint: int, now_unix_s: float) -> Suspicion:
-        """Return how far a request is restricted."""
+        """Return the degree to which a request is restricted."""
         suspect = self._current(fingerprint, now_unix_s)
         crashes = 0 if suspect is None else len(suspect.crashes)
         if crashes >= CRASHES_TO_BLOCK:
--- a/src/pomelobarrow/decision/demand.py
+++ b/src/pomelobarrow/decision/demand.py
@@ -8,7 +8,7 @@
 SLOW_HALF_LIFE_S = 4.0
 FAST_HALF_LIFE_S = 0.7
 # A difference between the averages of this many standard deviations is a step change, not noise.
-JUMP_DEVIATIONS = 3.5
+STEP_CHANGE_DEVIATIONS = 3.5
 # Larger than the change at which heartbeats resend a rate, so that every announced rate is sent.
 ANNOUNCE_CHANGE = 0.3
 # Announced rates include headroom, so that an increase too small to announce is still covered.
@@ -53,7 +53,7 @@
         deviation = math.sqrt(
             max(slow_per_s, fast_per_s) * math.log(2.0) / (2.0 * FAST_HALF_LIFE_S)
         )
-        if abs(fast_per_s - slow_per_s) <= JUMP_DEVIATIONS * deviation:
+        if abs(fast_per_s - slow_per_s) <= STEP_CHANGE_DEVIATIONS * deviation:
             return slow_per_s
         self._slow.set(fast_per_s, now_unix_s)
         return fast_per_s
--- a/src/pomelobarrow/decision/group_servers.py
+++ b/src/pomelobarrow/decision/group_servers.py
@@ -7,7 +7,7 @@
 from pomelobarrow.decision.rendezvous import rendezvous
 from pomelobarrow.decision.work import BackendServer
 
-# The second one is used while the first gets no work.
+# The second one is used while the first may get no work.
 SERVERS_PER_GROUP = 2
 MAX_GROUPS = 4_096
 
--- a/src/pomelobarrow/decision/ledger_types.py
+++ b/src/pomelobarrow/decision/ledger_types.py
@@ -57,7 +57,7 @@
 
 @frozen(kw_only=True)
 class LedgerEntry:
-    """A used id."""
+    """A used id, the account that it was issued to, and the outcome of its request."""
 
     request_id: str
     account: str
--- a/src/pomelobarrow/decision/member.py
+++ b/src/pomelobarrow/decision/member.py
@@ -1,4 +1,4 @@
-"""Entry VMs as members of the cluster, and the lifecycle phases of their daemons."""
+"""Entry VMs, which callers connect to, as cluster members, and their daemons' lifecycle phases."""
 
 import enum
 
@@ -21,7 +21,7 @@
 
 @frozen(kw_only=True)
 class Member:
-    """Describe one incarnation of an entry VM's daemon, as stated by one message.
+    """One incarnation of an entry VM's daemon, as described by one message.
 
     Equality ignores the sequence number and when the member was last seen.
     """
--- a/src/pomelobarrow/decision/outliers.py
+++ b/src/pomelobarrow/decision/outliers.py
@@ -29,8 +29,8 @@
     """Compares each server's recent failure rate and latency with those of its pool.
 
     A server can answer health checks and still fail some of its requests, or take ten times as
-    long. Single failures between successes never eject it, so that its averages are compared with
-    those of the others.
+    long. Single failures between successes never eject it, so its averages are compared with those
+    of the others.
     """
 
     _records: dict[str, _Record] = field(factory=dict)
--- a/src/pomelobarrow/decision/placement.py
+++ b/src/pomelobarrow/decision/placement.py
@@ -76,10 +76,10 @@
         """Return the server or peer to send the request to, or why there is none."""
         self.members.refresh(now_unix_s)
         local = self._local.choose(request, routing, excluded, now_unix_s)
-        local_or_none = _local_placement(request, local, now_unix_s)
+        local_decision = _local_placement(request, local, now_unix_s)
         if request.is_forwarded:
-            return local_or_none
-        is_accepted_locally = isinstance(local_or_none, LocalPlacement)
+            return local_decision
+        is_accepted_locally = isinstance(local_decision, LocalPlacement)
         coordinator = self._remote.coordinator(
             request, local, is_accepted_locally, excluded, now_unix_s
         )
@@ -93,12 +93,12 @@
             return _unless_too_late(request, remote, expected_s, now_unix_s)
         if local is None:
             return self._no_placement(request, excluded, now_unix_s)
-        return local_or_none
+        return local_decision
 
     def _no_placement(
         self, request: PlacementRequest, excluded: ExcludedTargets, now_unix_s: float
     ) -> NoPlacement:
-        """Return the reason: no usable server in this region, or only their rate limits."""
+        """Return why: this region has no usable server, or its servers' rate limits are used up."""
         if not request.route.may_run_in(self.own_region):
             return NoPlacement(reason=NO_LOCAL_SERVER)
         pool = request.work.pool
--- a/src/pomelobarrow/decision/placement_request.py
+++ b/src/pomelobarrow/decision/placement_request.py
@@ -6,9 +6,10 @@
 from pomelobarrow.decision.routing import Route
 from pomelobarrow.decision.work import Placement, Work
 
-# Prompts of at least this length go where their group went before, so that one cache holds them.
+# Prompts of at least this length are sent to where their group was sent before, so that one cache
+# holds them.
 LONG_PROMPT_TOKENS = 2_000
-# A server that has cached less than this share of a shared prompt counts as cold for it.
+# A server is warm for a shared prompt if it has cached at least this share of it.
 WARM_SHARE = 0.5
 WARM_ELSEWHERE = "another region keeps this prompt warm"
 COORDINATED_BY_PEER = "another VM coordinates this prompt's server"
--- a/src/pomelobarrow/decision/prefill_rates.py
+++ b/src/pomelobarrow/decision/prefill_rates.py
@@ -3,7 +3,7 @@
 Load pattern: in a region of 65 VMs each sends a long prompt every few seconds. From its own rate
 alone, a VM that has just sent one estimates the region's engines at five times their prefill
 capacity, and one that hasn't estimates them idle; both also send this to other regions. So
-neighbours exchange their rates.
+neighbours, the VMs of a region with a direct link, send each other their rates.
 """
 
 import math
@@ -32,8 +32,8 @@
     """The prompt tokens per second that this VM and its neighbours send to servers and pools.
 
     VMs without a received rate are assumed to send as much as the others, since clients spread over
-    all VMs. In a region of many VMs this one sends too little to distinguish the servers, so that
-    the pool's mean gets a higher weight.
+    all VMs. In a region of many VMs this one sends too little to distinguish the servers, so the
+    pool's mean gets a higher weight.
     """
 
     # The number of VMs that share the region's requests, including this one.
--- a/src/pomelobarrow/decision/region_choice.py
+++ b/src/pomelobarrow/decision/region_choice.py
@@ -64,7 +64,7 @@
 class ShareOutsideHome:
     """Limits the share of each class's requests that this VM sends outside their home region.
 
-    Each request adds the share to its class's credit, and one served outside its home takes off 1.
+    Each request adds the share to its class's credit; one served outside its home subtracts 1.
     Every VM keeps the limit for its own requests, so their sum does too, without coordination.
     """
 
--- a/src/pomelobarrow/decision/region_cost.py
+++ b/src/pomelobarrow/decision/region_cost.py
@@ -28,7 +28,7 @@
 
 @frozen(kw_only=True)
 class RegionCost:
-    """Expected time to the first answer in a region, and the cost including that to others."""
+    """Expected time to the first answer in a region, and the cost to this and other requests."""
 
     first_answer_s: float
     cost_s: float
--- a/src/pomelobarrow/decision/remote_choice.py
+++ b/src/pomelobarrow/decision/remote_choice.py
@@ -137,6 +137,7 @@
         excluded: ExcludedTargets,
         now_unix_s: float,
     ) -> PeerPlacement | None:
+        """Return a peer in another region that costs less, or None if there is none."""
         warm = self._warm_regions(request, now_unix_s)
         costs = self._remote_costs(request, excluded, warm, now_unix_s)
         if local is not None:
--- a/src/pomelobarrow/decision/retry_schedule.py
+++ b/src/pomelobarrow/decision/retry_schedule.py
@@ -20,7 +20,7 @@
     new requests.
     """
 
-    _last_slot_unix_s: float = 0.0
+    _last_retry_unix_s: float = 0.0
 
     def reserve(
         self, expected_wait_s: float, taken_per_s: float, now_unix_s: float, random: Random
@@ -29,10 +29,10 @@
         earliest_unix_s = now_unix_s + max(MIN_RETRY_AFTER_S, expected_wait_s)
         gap_s = 1.0 / max(RETRY_CAPACITY_SHARE * taken_per_s, 1.0)
         latest_unix_s = now_unix_s + MAX_RETRY_AFTER_S
-        self._last_slot_unix_s = min(
-            max(earliest_unix_s, self._last_slot_unix_s + gap_s), latest_unix_s
+        self._last_retry_unix_s = min(
+            max(earliest_unix_s, self._last_retry_unix_s + gap_s), latest_unix_s
         )
-        wait_s = self._last_slot_unix_s - now_unix_s
+        wait_s = self._last_retry_unix_s - now_unix_s
         # At the maximum delay all callers would get the same time, so the jitter is wider there.
-        jitter_s = wait_s * (0.5 if self._last_slot_unix_s >= latest_unix_s else JITTER)
+        jitter_s = wait_s * (0.5 if self._last_retry_unix_s >= latest_unix_s else JITTER)
         return now_unix_s + max(MIN_RETRY_AFTER_S, wait_s - jitter_s * random.random())
--- a/src/pomelobarrow/decision/server_choice.py
+++ b/src/pomelobarrow/decision/server_choice.py
@@ -33,7 +33,7 @@
 PREFILL_COST_WEIGHT = 2.0
 # Lower bound of a first-answer target; targets are fractions of a second.
 MIN_TARGET_S = 0.05
-# Typical prefill time of a long prompt, to compare servers before the prompt is known.
+# Typical prefill time of a long prompt, to compare servers where no prompt is given.
 LONG_PREFILL_S = 0.1
 WARM = "prompt cache"
 LEAST_WAIT = "least expected wait"
@@ -90,7 +90,7 @@
     seen = {state.server.name for state in compared}
     others = [server for server in warm.servers if server.name not in seen]
     compared += states(others)
-    return _least_wait(table, work, compared, warm, random, admits)
+    return _least_cost_placement(table, work, compared, warm, random, admits)
 
 
 def state_reader(table: LoadTable, pool: str, now_unix_s: float) -> StateReader:
@@ -161,7 +161,7 @@
     return [state for state in states if admits(state, work.rank)]
 
 
-def _least_wait(
+def _least_cost_placement(
     table: LoadTable,
     work: Work,
     compared: Sequence[ServerState],
@@ -172,8 +172,8 @@
     states = _with_capacity(compared, work, admits)
     times = table.service_times(work.pool)
     waits_s = _waits_s(states, times, table.view_age_s)
-    # Peers place work on the servers with capacity, including work that replaces requests finished
-    # on full servers.
+    # All compared servers count: work that replaces requests finished on full servers is placed by
+    # peers on the servers with capacity too.
     unseen_s = table.unseen_s(compared, work.pool)
     pauses_s = _pause_costs_s(work, states, warm, times)
     costs_s = [wait + pause for wait, pause in zip(waits_s, pauses_s, strict=True)]
--- a/src/pomelobarrow/decision/server_health.py
+++ b/src/pomelobarrow/decision/server_health.py
@@ -16,7 +16,7 @@
     _failures: int = 0
     _ejections: int = 0
     _ejected_until_unix_s: float = float("-inf")
-    _back_unix_s: float = float("-inf")
+    _readmitted_unix_s: float = float("-inf")
 
     def mark_failed(self, now_unix_s: float) -> None:
         """Count a failure; consecutive failures eject the server, each time for longer."""
@@ -29,7 +29,7 @@
         self._eject(now_unix_s)
 
     def eject(self, now_unix_s: float) -> None:
-        """Eject the server at once, such as one that does far worse than the others."""
+        """Eject the server immediately, for example as an outlier in its pool."""
         if not self.is_ejected(now_unix_s):
             self._eject(now_unix_s)
 
@@ -45,7 +45,7 @@
 
     def admitted_share(self, now_unix_s: float) -> float:
         """Return the share of its slots that the server may fill, which rises in slow start."""
-        ramp = (now_unix_s - self._back_unix_s) / SLOW_START_S
+        ramp = (now_unix_s - self._readmitted_unix_s) / SLOW_START_S
         return max(SLOW_START_SHARE, min(1.0, ramp))
 
     def _eject(self, now_unix_s: float) -> None:
@@ -53,4 +53,4 @@
         self._ejections += 1
         self._failures = 0
         self._ejected_until_unix_s = now_unix_s + ejection_s
-        self._back_unix_s = self._ejected_until_unix_s
+        self._readmitted_unix_s = self._ejected_until_unix_s
--- a/src/pomelobarrow/decision/server_load.py
+++ b/src/pomelobarrow/decision/server_load.py
@@ -57,10 +57,10 @@
 class ServerLoad:
     """The requests and prompt tokens in flight on one server.
 
-    Own charges are exact and peers' counts are fresher than reports, so both are added up, and one
-    delayed report serves many placements. Each report is compared with the charges and counts of
-    the time at which it was measured. The difference is load that no VM accounts for, such as the
-    requests of a crashed VM.
+    Own charges are exact and peers' counts are fresher than reports, so both are added up, and many
+    placements can be made between two reports. Each report is compared with the charges and counts
+    of the time at which it was measured. The difference is load that no VM accounts for, such as
+    the requests of a crashed VM.
     """
 
     own_requests: int = 0
--- a/src/pomelobarrow/decision/shared_rate.py
+++ b/src/pomelobarrow/decision/shared_rate.py
@@ -1,7 +1,7 @@
 """Share a rate limit between VMs without a message for each request.
 
-Load pattern: all VMs of a region send to one server that accepts few requests per second. A few of
-them, selected alike by every VM, send at an equal share of the rate; all others send to other
+Load pattern: all VMs of a region send to one server that accepts few requests per second. A few
+VMs, on which all VMs agree by hashing, send at an equal share of the rate; all others send to other
 servers.
 """
 
--- a/src/pomelobarrow/decision/stream_admission.py
+++ b/src/pomelobarrow/decision/stream_admission.py
@@ -35,7 +35,7 @@
     silence_patience_s: float
     # The prefill of the prompt delays the requests after it.
     is_long: bool
-    # The stream was refused or cut off before: it is late already, and there is no third try.
+    # The stream was refused or cut off before: it is already late and isn't retried again.
     is_resubmission: bool
 
 
--- a/src/pomelobarrow/decision/work_queue.py
+++ b/src/pomelobarrow/decision/work_queue.py
@@ -43,7 +43,7 @@
 class WorkQueue:
     """Waiting work of one pool: paying before trial, then by due time.
 
-    Work is due some time before its class's first-token target. Once that time has passed, the work
+    Work is due some time before its first-token target. Once that time has passed, the work
     is due at its deadline, so that a late request does not delay the next ones and is still served.
     """
 
@@ -175,7 +175,7 @@
         insort(self._ordered[entry.work.rank], entry)
 
     def _reorder_late_entries(self, now_unix_s: float) -> None:
-        """Requeue the entries whose due time has passed at their deadline."""
+        """Move the entries whose due time has passed to the position of their deadline."""
         for ordered in self._ordered.values():
             while ordered and ordered[0].due_unix_s < now_unix_s:
                 entry = ordered[0]
