--- a/bench/profile/region.py
+++ b/bench/profile/region.py
@@ -148,7 +148,7 @@
         sent = sender.sent.setdefault(receiver.vm, SentUpdates())
         heartbeat = sender.heartbeats.full(receiver.vm, same_region=True, sent=sent)
         received = self._transmit(pb.PeerMessage(heartbeat=heartbeat)).heartbeat
-        receiver.heartbeats.take(received, receiver.sent.setdefault(sender.vm, SentUpdates()))
+        receiver.heartbeats.apply(received, receiver.sent.setdefault(sender.vm, SentUpdates()))
         members_request = receiver.heartbeats.missing_members_request(received)
         if members_request is None:
             return
@@ -212,7 +212,7 @@
         for number, member in enumerate(other_members(self.size, now)):
             # The first daemon of each region sends the loads of its region.
             pools = POOLS if number < self.size.other_regions else ()
-            node.heartbeats.take(_heartbeat(member, pools, now))
+            node.heartbeats.apply(_heartbeat(member, pools, now))
 
     def _node(self, vm: str, number: int) -> _Node:
         view = MembershipView(vm, "r00")
--- a/tests/test_crash_updates.py
+++ b/tests/test_crash_updates.py
@@ -34,7 +34,7 @@
         while self.sent:
             source, to, message = self.sent.popleft()
             self.bytes_by_vm[to] += message.ByteSize()
-            self.views[to].take(message.crash_findings, source)
+            self.views[to].apply(message.crash_findings, source)
 
 
 def large_fleet() -> Fleet:
@@ -59,7 +59,7 @@
 
 
 def note(view: CrashUpdates, server_key: int) -> None:
-    view.tell(view.suspects.note(crash(server_key)))
+    view.notify_peers(view.suspects.note(crash(server_key)))
 
 
 def test_crashes_seen_in_three_regions_are_known_to_all_vms() -> None:
@@ -87,7 +87,7 @@
         note(fleet.views["vm-0-40"], key)
     fleet.deliver()
     answering = fleet.views["vm-3-20"]
-    answering.tell(answering.suspects.answered(1, now_unix_s()))
+    answering.notify_peers(answering.suspects.answered(1, now_unix_s()))
     fleet.deliver()
     assert not any(view.suspects.crashes() for view in fleet.views.values())
 
@@ -97,7 +97,7 @@
     for key in range(3):
         note(sender, key)
     for message in sender.all_messages():
-        receiver.take(message.crash_findings, "vm-1")
+        receiver.apply(message.crash_findings, "vm-1")
     assert receiver.suspects.suspicion(1, now_unix_s()) is Suspicion.BLOCKED
 
 
@@ -105,5 +105,5 @@
     view = CrashUpdates()
     for sent_unix_s in (float("nan"), float("-inf"), 0.0):
         finding = pb.CrashFinding(fingerprint=1, server_key=1)
-        view.take(pb.CrashFindings(sent_unix_s=sent_unix_s, findings=[finding]), "vm-1")
+        view.apply(pb.CrashFindings(sent_unix_s=sent_unix_s, findings=[finding]), "vm-1")
     assert view.suspects.crashes() == []
