--- a/src/pomelobarrow/dispatch/plugin.py
+++ b/src/pomelobarrow/dispatch/plugin.py
@@ -81,7 +81,7 @@
         suspects=context.get(CrashSuspects),
         watch=context.get(ServerWatch),
         live_vms=lambda: [member.vm for member in view.live(now_unix_s=now_unix_s())],
-        notify_peers=context.get(CrashUpdates).tell,
+        notify_peers=context.get(CrashUpdates).notify_peers,
         observe=context.observe,
     )
 
--- a/src/pomelobarrow/peers/crash_updates.py
+++ b/src/pomelobarrow/peers/crash_updates.py
@@ -36,7 +36,7 @@
     offsets: ClockOffsets = field(factory=ClockOffsets)
     broadcast: Broadcast = lambda message, except_vm: None
 
-    def tell(self, findings: Iterable[Finding], except_vm: str = "") -> None:
+    def notify_peers(self, findings: Iterable[Finding], except_vm: str = "") -> None:
         """Send findings to all peers except one."""
         for message in _messages(findings):
             self.broadcast(message, except_vm)
@@ -55,7 +55,7 @@
             # Also false for NaN.
             if now - CRASH_RETENTION_S < unix_s <= now:
                 new_findings += self.suspects.note(_finding(each, unix_s))
-        self.tell(new_findings, peer_vm)
+        self.notify_peers(new_findings, peer_vm)
 
 
 def _messages(findings: Iterable[Finding]) -> Iterator[pb.PeerMessage]:
--- a/tests/test_crash_updates.py
+++ b/tests/test_crash_updates.py
@@ -59,7 +59,7 @@
 
 
 def note(view: CrashUpdates, server_key: int) -> None:
-    view.tell(view.suspects.note(crash(server_key)))
+    view.notify_peers(view.suspects.note(crash(server_key)))
 
 
 def test_crashes_seen_in_three_regions_are_known_to_all_vms() -> None:
@@ -87,7 +87,7 @@
         note(fleet.views["vm-0-40"], key)
     fleet.deliver()
     answering = fleet.views["vm-3-20"]
-    answering.tell(answering.suspects.answered(1, now_unix_s()))
+    answering.notify_peers(answering.suspects.answered(1, now_unix_s()))
     fleet.deliver()
     assert not any(view.suspects.crashes() for view in fleet.views.values())
 
