--- a/bench/profile/region.py
+++ b/bench/profile/region.py
@@ -148,7 +148,7 @@
         sent = sender.sent.setdefault(receiver.vm, SentUpdates())
         heartbeat = sender.heartbeats.full(receiver.vm, same_region=True, sent=sent)
         heard = self._pass(pb.PeerMessage(heartbeat=heartbeat)).heartbeat
-        receiver.heartbeats.take(heard, receiver.sent.setdefault(sender.vm, SentUpdates()))
+        receiver.heartbeats.apply(heard, receiver.sent.setdefault(sender.vm, SentUpdates()))
         question = receiver.heartbeats.missing_members_request(heard)
         if question is None:
             return
@@ -210,7 +210,7 @@
         for number, member in enumerate(other_members(self.size, now)):
             # The first of each region's daemons tells the loads of its region.
             pools = POOLS if number < self.size.other_regions else ()
-            node.heartbeats.take(_heartbeat(member, pools, now))
+            node.heartbeats.apply(_heartbeat(member, pools, now))
 
     def _node(self, vm: str, number: int) -> _Node:
         view = MembershipView(vm, "r00")
--- a/src/pomelobarrow/peers/crash_updates.py
+++ b/src/pomelobarrow/peers/crash_updates.py
@@ -45,7 +45,7 @@
         """Return the messages with all findings, for a newly connected peer."""
         return _messages(self.suspects.crashes())
 
-    def take(self, message: pb.CrashFindings, peer_vm: str) -> None:
+    def apply(self, message: pb.CrashFindings, peer_vm: str) -> None:
         """Record the findings of a peer and pass on those that are new."""
         now = now_unix_s()
         sent_unix_s = self.offsets.sent_unix_s(peer_vm, message.sent_unix_s, now)
--- a/src/pomelobarrow/peers/demand_updates.py
+++ b/src/pomelobarrow/peers/demand_updates.py
@@ -61,7 +61,7 @@
                 heartbeat.account_rates.append(rate)
                 sent.rate_by_key[key] = rate
 
-    def take(self, heartbeat: pb.Heartbeat, kind: LinkKind, now_unix_s: float) -> None:
+    def apply(self, heartbeat: pb.Heartbeat, kind: LinkKind, now_unix_s: float) -> None:
         """Apply a peer's demand: its own, that of its row or that of its region."""
         rates = self._rates.setdefault(heartbeat.vm, {})
         if heartbeat.is_whole:
--- a/src/pomelobarrow/peers/exchange.py
+++ b/src/pomelobarrow/peers/exchange.py
@@ -82,7 +82,7 @@
     def _on_heartbeat(
         self, heartbeat: pb.Heartbeat, peer_vm: str, reply: Reply, sent: SentUpdates | None
     ) -> None:
-        is_newest = self.heartbeats.take(heartbeat, sent)
+        is_newest = self.heartbeats.apply(heartbeat, sent)
         # A heartbeat overtaken by one of another stream may be the only one that names a member.
         if (request := self.heartbeats.missing_members_request(heartbeat, sent)) is not None:
             reply(request)
@@ -164,7 +164,7 @@
         self.heartbeats.receive_members(message, peer_vm, sent)
 
     def _on_crash_findings(self, message: pb.CrashFindings, peer_vm: str, reply: Reply) -> None:
-        self.crash_updates.take(message, peer_vm)
+        self.crash_updates.apply(message, peer_vm)
 
     def _on_closing(self, closing: pb.Closing, peer_vm: str, reply: Reply) -> None:
         self.view.observe_link_closed(peer_vm, now_unix_s())
--- a/src/pomelobarrow/peers/heartbeats.py
+++ b/src/pomelobarrow/peers/heartbeats.py
@@ -117,7 +117,7 @@
         self._demand.write(heartbeat, sent.demand, kind, self.neighbours, now)
         return heartbeat
 
-    def take(self, heartbeat: pb.Heartbeat, sent: SentUpdates | None = None) -> bool:
+    def apply(self, heartbeat: pb.Heartbeat, sent: SentUpdates | None = None) -> bool:
         """Apply a peer's heartbeat; return False if a newer one was applied before.
 
         What the peer sends isn't sent back to it on the same stream.
@@ -264,12 +264,12 @@
     ) -> None:
         sent_unix_s = self.offsets.sent_unix_s(heartbeat.vm, heartbeat.sent_unix_s, now)
         is_sparse = self.neighbours.is_sparse
-        self._members.take(heartbeat, sent.members, kind, is_sparse, now, sent_unix_s)
-        self._pools.take(heartbeat, member.region, kind, now, sent_unix_s)
+        self._members.apply(heartbeat, sent.members, kind, is_sparse, now, sent_unix_s)
+        self._pools.apply(heartbeat, member.region, kind, now, sent_unix_s)
         if kind is not LinkKind.OTHER_REGION:
-            self._servers.take(heartbeat, kind, now, sent_unix_s)
-            self._times.take(heartbeat, now)
-        self._demand.take(heartbeat, kind, now)
+            self._servers.apply(heartbeat, kind, now, sent_unix_s)
+            self._times.apply(heartbeat, now)
+        self._demand.apply(heartbeat, kind, now)
 
     def _observe_clock(self, heartbeat: pb.Heartbeat, now: float) -> None:
         self.offsets.observe(
--- a/src/pomelobarrow/peers/member_updates.py
+++ b/src/pomelobarrow/peers/member_updates.py
@@ -89,7 +89,7 @@
             if len(heartbeat.heard_keys) >= LAST_SEEN_PER_HEARTBEAT:
                 return
 
-    def take(
+    def apply(
         self,
         heartbeat: pb.Heartbeat,
         sent: SentMembers,
--- a/src/pomelobarrow/peers/pool_updates.py
+++ b/src/pomelobarrow/peers/pool_updates.py
@@ -74,7 +74,7 @@
             if passes_on(self.region_loads.source_of(load), kind):
                 self._write_region(heartbeat, sent, load, now_unix_s)
 
-    def take(
+    def apply(
         self,
         heartbeat: pb.Heartbeat,
         sender_region: str,
--- a/src/pomelobarrow/peers/server_updates.py
+++ b/src/pomelobarrow/peers/server_updates.py
@@ -56,7 +56,7 @@
             for report in self._row_reports.values():
                 self._write_report(heartbeat, sent, report, now_unix_s, is_passed_on=True)
 
-    def take(
+    def apply(
         self, heartbeat: pb.Heartbeat, kind: LinkKind, now_unix_s: float, sent_unix_s: float
     ) -> None:
         """Apply the counts, limits and reports in a peer's heartbeat."""
--- a/src/pomelobarrow/peers/service_time_updates.py
+++ b/src/pomelobarrow/peers/service_time_updates.py
@@ -42,7 +42,7 @@
                 sent.reading_rate_sent.add(pool)
                 heartbeat.times.append(entry)
 
-    def take(self, heartbeat: pb.Heartbeat, now_unix_s: float) -> None:
+    def apply(self, heartbeat: pb.Heartbeat, now_unix_s: float) -> None:
         """Apply the service times and prompt rates in a neighbour's heartbeat."""
         vm, table = heartbeat.vm, self.table
         for entry in heartbeat.times:
--- a/tests/test_crash_updates.py
+++ b/tests/test_crash_updates.py
@@ -34,7 +34,7 @@
         while self.sent:
             source, to, message = self.sent.popleft()
             self.bytes_by_vm[to] += message.ByteSize()
-            self.views[to].take(message.crash_findings, source)
+            self.views[to].apply(message.crash_findings, source)
 
 
 def large_fleet() -> Fleet:
@@ -97,7 +97,7 @@
     for key in range(3):
         note(sender, key)
     for message in sender.all_messages():
-        receiver.take(message.crash_findings, "vm-1")
+        receiver.apply(message.crash_findings, "vm-1")
     assert receiver.suspects.suspicion(1, now_unix_s()) is Suspicion.BLOCKED
 
 
@@ -105,5 +105,5 @@
     view = CrashUpdates()
     for sent_unix_s in (float("nan"), float("-inf"), 0.0):
         finding = pb.CrashFinding(fingerprint=1, server_key=1)
-        view.take(pb.CrashFindings(sent_unix_s=sent_unix_s, findings=[finding]), "vm-1")
+        view.apply(pb.CrashFindings(sent_unix_s=sent_unix_s, findings=[finding]), "vm-1")
     assert view.suspects.crashes() == []
--- a/tests/test_demand_updates.py
+++ b/tests/test_demand_updates.py
@@ -33,7 +33,7 @@
         sent = self.sent.setdefault(other.name, SentDemand())
         self.updates.write(heartbeat, sent, kind, self.neighbours, now_unix_s)
         back = other.neighbours.kind(self.name, self.region == other.region)
-        other.updates.take(heartbeat, back, now_unix_s)
+        other.updates.apply(heartbeat, back, now_unix_s)
 
 
 def admitted(vms: list[Vm], seconds: float) -> int:
--- a/tests/test_member_updates.py
+++ b/tests/test_member_updates.py
@@ -24,10 +24,10 @@
     return pb.Heartbeat(vm="vm-c", incarnation=1, sent_unix_s=sent_unix_s, members=[summary])
 
 
-def take(view: MembershipView, heartbeat: pb.Heartbeat) -> None:
+def apply(view: MembershipView, heartbeat: pb.Heartbeat) -> None:
     """Apply a heartbeat of a peer whose clock offset isn't known yet."""
     sent_unix_s = ClockOffsets().sent_unix_s("vm-c", heartbeat.sent_unix_s, NOW_UNIX_S)
-    MemberUpdates(view).take(
+    MemberUpdates(view).apply(
         heartbeat,
         SentMembers(),
         LinkKind.OTHER_REGION,
@@ -50,14 +50,14 @@
         member = Member(vm="vm-b", incarnation=1, region="milan", sequence=number + 1)
         view.observe_heartbeat(member, NOW_UNIX_S - LAST_SEEN_AGO_S - 19 + number)
 
-    take(view, heartbeat_by_clock_ahead(20.0))
+    apply(view, heartbeat_by_clock_ahead(20.0))
 
     assert view.suspects(NOW_UNIX_S) == {"vm-b"}
 
 
 def test_report_on_an_unknown_vm_keeps_its_age_whatever_the_peers_clock() -> None:
     view = MembershipView("vm-a", "milan")
-    take(view, heartbeat_by_clock_ahead(20.0))
+    apply(view, heartbeat_by_clock_ahead(20.0))
     [status] = view.liveness_changes(NOW_UNIX_S)
     assert status.last_seen_age_s == LAST_SEEN_AGO_S
 
@@ -66,7 +66,7 @@
     # The heartbeat may have been delayed in transit. If the report counts as older than it is, the
     # member is only tried later.
     view = MembershipView("vm-a", "milan")
-    take(view, heartbeat_by_clock_ahead(-2.0))
+    apply(view, heartbeat_by_clock_ahead(-2.0))
     [status] = view.liveness_changes(NOW_UNIX_S)
     assert status.last_seen_age_s == LAST_SEEN_AGO_S + 2.0
 
@@ -91,7 +91,7 @@
 
     def receive(self, heartbeat: pb.Heartbeat) -> list[int]:
         """Apply a heartbeat; return the keys of the descriptions to request."""
-        self.updates.take(
+        self.updates.apply(
             heartbeat, self.sent, LinkKind.COLUMN, False, NOW_UNIX_S, heartbeat.sent_unix_s
         )
         return self.ask(heartbeat, NOW_UNIX_S)
--- a/tests/test_server_incarnations.py
+++ b/tests/test_server_incarnations.py
@@ -57,7 +57,7 @@
 
 
 def deliver(receiver: ServerUpdates, heartbeat: pb.Heartbeat) -> None:
-    receiver.take(heartbeat, LinkKind.ROW, 10.0, float)
+    receiver.apply(heartbeat, LinkKind.ROW, 10.0, float)
 
 
 def test_restarted_server_starts_without_previous_state() -> None:
--- a/tests/test_server_limit_shares.py
+++ b/tests/test_server_limit_shares.py
@@ -158,7 +158,7 @@
         sender.limits.observe(SERVER.incarnation, per_s, at)
         heartbeat = pb.Heartbeat(vm="vm-0")
         updates[0].write(heartbeat, sent, LinkKind.COLUMN, at + 0.5)
-        updates[1].take(heartbeat, LinkKind.COLUMN, at + 0.5, at + 0.5)
+        updates[1].apply(heartbeat, LinkKind.COLUMN, at + 0.5, at + 0.5)
         expected = math.inf if per_s is None else per_s
         assert receiver.limits.limit_per_s(SERVER) == pytest.approx(expected)
     heartbeat = pb.Heartbeat(vm="vm-0")
--- a/tests/test_service_time_updates.py
+++ b/tests/test_service_time_updates.py
@@ -30,7 +30,7 @@
 
 def test_a_neighbour_adopts_received_service_times(sender: ServiceTimeUpdates) -> None:
     receiver = ServiceTimeUpdates(table_of(1))
-    receiver.take(heartbeat_of(sender, SentServiceTimes(), NOW_UNIX_S), NOW_UNIX_S)
+    receiver.apply(heartbeat_of(sender, SentServiceTimes(), NOW_UNIX_S), NOW_UNIX_S)
 
     learned = receiver.table.service_times(POOL).s_per_prefill_token
     assert learned == pytest.approx(1e-5, rel=0.05)
@@ -56,6 +56,6 @@
     heartbeat = heartbeat_of(sender, SentServiceTimes(), NOW_UNIX_S)
     heartbeat.times[0].pool = "elsewhere"
     receiver = ServiceTimeUpdates(table_of(1))
-    receiver.take(heartbeat, NOW_UNIX_S)
+    receiver.apply(heartbeat, NOW_UNIX_S)
 
     assert [pool for pool, _ in receiver.table.all_service_times()] == []
