--- a/src/pomelobarrow/dispatch/answers.py
+++ b/src/pomelobarrow/dispatch/answers.py
@@ -40,7 +40,7 @@
         """Mark the answer as complete."""
 
     async def abort(self, refusal: Refusal) -> None:
-        """End an incomplete answer so that it can't be taken for a complete one."""
+        """End an incomplete answer so that the caller can't mistake it for a complete one."""
 
 
 @frozen(kw_only=True)
--- a/src/pomelobarrow/dispatch/claims.py
+++ b/src/pomelobarrow/dispatch/claims.py
@@ -1,4 +1,4 @@
-"""Run a request under an issued id at most once, whichever VM its repeats reach."""
+"""Run a request under an issued id at most once, even if its repeats reach different VMs."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -229,7 +229,7 @@
         return refuse(ErrorKind.DRAINING, run, detail, remedy=REMEDY_NEW_ID)
 
     def _issuer_gone(self, detail: str = "") -> Refusal:
-        text = "the VM that issued the id can't be reached to find out whether the request ran"
+        text = "the VM that issued the id can't be reached, so that the outcome is unknown"
         return refuse(
             ErrorKind.OUTCOME_UNKNOWN, RunStatus.UNKNOWN, f"{text}: {detail}" if detail else text
         )
--- a/src/pomelobarrow/dispatch/dispatcher.py
+++ b/src/pomelobarrow/dispatch/dispatcher.py
@@ -60,8 +60,8 @@
         self.last_refusal = result.refusal or self.last_refusal
         if result.peer:
             self.excluded_peers.add(result.peer)
-            # A VM that stops says nothing about its region. If the region were excluded, home-bound
-            # work would be refused although another VM there accepts it.
+            # Other VMs of a stopping VM's region may accept the work. If the region were excluded,
+            # home-bound work would be refused although it could run there.
             if result.refusal is None or result.refusal.kind is not ErrorKind.DRAINING:
                 self.excluded_regions.add(region)
         elif result.server:
@@ -172,7 +172,7 @@
     def _is_home_load_unknown(self, work: Work, history: AttemptHistory) -> bool:
         """Return whether no load of the home region has been received, as just after a start.
 
-        Such a region must not be taken for unreachable, or its work would be refused although the
+        Such a region must not be treated as unreachable, or its work would be refused although the
         region would run it. A forward shows at once whether an entry VM there can be reached.
         """
         if work.home_region == self.own_region or work.home_region in history.excluded_regions:
--- a/src/pomelobarrow/peers/demand_updates.py
+++ b/src/pomelobarrow/peers/demand_updates.py
@@ -98,7 +98,7 @@
 
 
 def _vms_summed_for(kind: LinkKind, neighbours: Neighbours) -> frozenset[str]:
-    """Return the VMs whose demand is added to the own one on a kind of link."""
+    """Return the VMs whose demand is added to this VM's own on a kind of link."""
     return {LinkKind.COLUMN: neighbours.row, LinkKind.OTHER_REGION: neighbours.all}.get(
         kind, frozenset()
     )
--- a/src/pomelobarrow/peers/events.py
+++ b/src/pomelobarrow/peers/events.py
@@ -18,7 +18,8 @@
     incarnation: int
     phase: str
     is_live: bool
-    # The peer whose report decided; empty if the member was heard directly.
+    # The peer that reported when the member was last seen; empty if a message came from the member
+    # itself.
     told_by: str
     heard_age_s: float
     allowed_silence_s: float
--- a/src/pomelobarrow/peers/exchange.py
+++ b/src/pomelobarrow/peers/exchange.py
@@ -36,7 +36,7 @@
     crash_updates: CrashUpdates = field(factory=CrashUpdates)
     _next_pull_unix_s: dict[str, float] = field(factory=dict)
     _keyspaces_with_gap: set[str] = field(factory=set)
-    # The revision that each peer holds, by its last heartbeat or our last push to it.
+    # The revision that each peer holds, by its last heartbeat or this VM's last push to it.
     _peer_copies: dict[str, dict[str, KeyspaceSummary]] = field(factory=dict)
 
     def handle(
@@ -133,7 +133,7 @@
         """Request the changes after this copy's revision; after a second gap, start over.
 
         A push can overtake a lost one, which the first request repairs. A second gap means that
-        the peer no longer knows which keys were deleted in between.
+        the peer no longer holds the record of the keys deleted in between.
         """
         copy = self.published.copies[name]
         if name in self._keyspaces_with_gap:
--- a/src/pomelobarrow/peers/forward_client.py
+++ b/src/pomelobarrow/peers/forward_client.py
@@ -32,9 +32,9 @@
 from pomelobarrow.peers.table import PeerTable
 
 FORWARD_PATH = "/pomelobarrow.peers.v1.Peer/Forward"
-# How long a cancelled forward's outcome is awaited after the deadline: two round trips between
-# regions.
-FINAL_ANSWER_TIMEOUT_S = 0.3
+# Past the deadline, the caller waits at most this long for the peer to confirm a cancellation: two
+# round trips between regions.
+LATE_CANCEL_TIMEOUT_S = 0.3
 
 
 @define(kw_only=True)
@@ -128,7 +128,7 @@
                 with forward.link.in_use():
                     return await forward.run()
         except TimeoutError:
-            return await forward.resolve_lost("the deadline passed", FINAL_ANSWER_TIMEOUT_S)
+            return await forward.resolve_lost("the deadline passed", LATE_CANCEL_TIMEOUT_S)
         except (CallerGoneError, asyncio.CancelledError):
             await asyncio.shield(forward.cancel())
             raise
--- a/src/pomelobarrow/peers/forward_server.py
+++ b/src/pomelobarrow/peers/forward_server.py
@@ -219,7 +219,7 @@
             return refuse(
                 ErrorKind.NOT_READY,
                 _run_before_ledger_check(message),
-                "the executing VM doesn't know the class yet",
+                "the executing VM hasn't received the class yet",
             )
         is_bound = work_class.home_bound or message.home_bound
         if is_bound and not _is_home(message, configuration):
--- a/src/pomelobarrow/peers/grid.py
+++ b/src/pomelobarrow/peers/grid.py
@@ -50,13 +50,13 @@
 
 
 def passes_on(source: LinkKind | None, to: LinkKind) -> bool:
-    """Return whether an update is passed on in the region; the source of an own update is None."""
-    is_entry = source in (None, LinkKind.OTHER_REGION)
-    return is_entry or (source is LinkKind.ROW and to is LinkKind.COLUMN)
+    """Return whether an update is passed on in the region; source is None for this VM's own."""
+    is_first_in_region = source in (None, LinkKind.OTHER_REGION)
+    return is_first_in_region or (source is LinkKind.ROW and to is LinkKind.COLUMN)
 
 
 def neighbours(own_vm: str, region_vms: Iterable[str]) -> Neighbours:
-    """Return a VM's neighbours; two VMs that know the same names agree on being neighbours."""
+    """Return a VM's neighbours; two VMs with the same list of names agree on it."""
     names = sorted({own_vm, *region_vms})
     others = frozenset(names) - {own_vm}
     if len(names) <= FULL_MESH_MAX_VMS:
--- a/src/pomelobarrow/peers/heartbeats.py
+++ b/src/pomelobarrow/peers/heartbeats.py
@@ -65,7 +65,7 @@
     # Per peer: when its last heartbeat was sent and received, to be echoed.
     _echoes: dict[str, tuple[float, float]] = field(factory=dict)
     # Peers that have echoed a heartbeat of this incarnation and thus hold its description.
-    _peers_that_know_us: set[str] = field(factory=set)
+    _peers_with_description: set[str] = field(factory=set)
     # Per peer: incarnation and sequence of the last heartbeat that carried loads.
     _last_full: dict[str, tuple[int, int]] = field(factory=dict)
 
@@ -131,7 +131,7 @@
         if is_newest:
             self._echoes[heartbeat.vm] = (heartbeat.sent_unix_s, now)
             self._members.note_direct_contact(heartbeat.vm, kind)
-            self._note_whether_known(heartbeat)
+            self._note_echo(heartbeat)
             self._observe_clock(heartbeat, now)
         if self._has_newer_loads(heartbeat):
             self._apply_loads(heartbeat, member, kind, sent or SentUpdates(), now)
@@ -140,13 +140,13 @@
     def missing_members_request(
         self, heartbeat: pb.Heartbeat, sent: SentUpdates | None = None
     ) -> pb.PeerMessage | None:
-        """Return the request for the members that a peer named and this VM doesn't know, if any."""
+        """Return the request for the descriptions that a peer named and this VM lacks, if any."""
         members = (sent or SentUpdates()).members
         keys = self._members.missing_keys(members, heartbeat.member_keys, now_unix_s())
         return pb.PeerMessage(member_request=pb.MemberRequest(keys=keys)) if keys else None
 
     def describe_members(self, request: pb.MemberRequest) -> Iterator[pb.PeerMessage]:
-        """Yield the answers to a member request; a single empty one if none is known any more."""
+        """Yield the answers to a member request; a single empty one if it holds none of them."""
         summaries = self._members.describe(request.keys)
         for start in range(0, max(1, len(summaries)), DESCRIPTIONS_PER_MESSAGE):
             members = summaries[start : start + DESCRIPTIONS_PER_MESSAGE]
@@ -170,7 +170,7 @@
         self.forget(vm)
         self.offsets.forget(vm)
         self._members.forget(vm)
-        self._peers_that_know_us.discard(vm)
+        self._peers_with_description.discard(vm)
         self._echoes.pop(vm, None)
         self._last_full.pop(vm, None)
 
@@ -195,7 +195,7 @@
             echo_sent_unix_s=sent_unix_s,
             echo_received_unix_s=received_unix_s,
         )
-        if is_first or peer not in self._peers_that_know_us:
+        if is_first or peer not in self._peers_with_description:
             heartbeat.region = own.region
             heartbeat.failure_domain = own.failure_domain
             heartbeat.caller_address = own.caller_address
@@ -219,8 +219,8 @@
             return _member(heartbeat)
         known = self.view.get(heartbeat.vm)
         if known is None or known.incarnation != heartbeat.incarnation:
-            # This VM dropped a peer that considers itself known. Without an echo, its next
-            # heartbeat carries its description again.
+            # This VM has dropped the description, and the peer no longer sends it. A peer that gets
+            # no echo adds its description to its next heartbeat.
             self._echoes.pop(heartbeat.vm, None)
             return None
         return Member(
@@ -234,11 +234,11 @@
             sequence=heartbeat.sequence,
         )
 
-    def _note_whether_known(self, heartbeat: pb.Heartbeat) -> None:
+    def _note_echo(self, heartbeat: pb.Heartbeat) -> None:
         if heartbeat.echo_sent_unix_s >= self._started_unix_s:
-            self._peers_that_know_us.add(heartbeat.vm)
+            self._peers_with_description.add(heartbeat.vm)
         else:
-            self._peers_that_know_us.discard(heartbeat.vm)
+            self._peers_with_description.discard(heartbeat.vm)
 
     def _has_newer_loads(self, heartbeat: pb.Heartbeat) -> bool:
         """Return whether these loads are newer than the ones held.
--- a/src/pomelobarrow/peers/member_updates.py
+++ b/src/pomelobarrow/peers/member_updates.py
@@ -121,7 +121,7 @@
         has_any = False
         for summary in summaries:
             has_any = True
-            member = _summarized(summary, summary.heard_unix_s - clock_ahead_s)
+            member = _member(summary, summary.heard_unix_s - clock_ahead_s)
             # A VM that has a more recent report of a member continues to pass that one on.
             is_fresher = self.view.last_seen_unix_s(member.vm) < member.last_seen_unix_s
             self.view.observe_summary(member, now_unix_s, reported_by)
@@ -279,7 +279,7 @@
         heartbeat.heard_ages.append(round(age_s / AGE_UNIT_S))
 
 
-def _summarized(each: pb.MemberSummary, last_seen_unix_s: float) -> Member:
+def _member(each: pb.MemberSummary, last_seen_unix_s: float) -> Member:
     return Member(
         vm=each.vm,
         incarnation=each.incarnation,
--- a/src/pomelobarrow/peers/region_loads.py
+++ b/src/pomelobarrow/peers/region_loads.py
@@ -1,4 +1,4 @@
-"""Store the loads received of other regions' pools."""
+"""Store the loads of other regions' pools that peers report."""
 
 from attrs import define, evolve, field
 
--- a/src/pomelobarrow/peers/service_time_updates.py
+++ b/src/pomelobarrow/peers/service_time_updates.py
@@ -17,7 +17,7 @@
 
     samples: dict[str, int] = field(factory=dict)
     next_unix_s: dict[str, float] = field(factory=dict)
-    reading_rate_sent: set[str] = field(factory=set)
+    prompt_rate_sent: set[str] = field(factory=set)
 
 
 @define
@@ -36,10 +36,10 @@
                 sent.samples[pool] = times.samples
                 sent.next_unix_s[pool] = now_unix_s + SEND_INTERVAL_S
                 entry.sums.extend(times.own_sums())
-            # Once a peer has an entry for a pool, it takes a missing one for a rate of zero.
-            is_first = pool not in sent.reading_rate_sent
+            # Once a peer has an entry for a pool, it treats a missing one as a rate of zero.
+            is_first = pool not in sent.prompt_rate_sent
             if entry.sums or is_first or entry.reading_tokens_per_s >= MIN_SENT_PER_S:
-                sent.reading_rate_sent.add(pool)
+                sent.prompt_rate_sent.add(pool)
                 heartbeat.times.append(entry)
 
     def apply(self, heartbeat: pb.Heartbeat, now_unix_s: float) -> None:
--- a/src/pomelobarrow/peers/streams.py
+++ b/src/pomelobarrow/peers/streams.py
@@ -67,7 +67,7 @@
                 self.send(message)
 
     async def send_closing(self) -> None:
-        """Tell the peer that this stream is closed on purpose, and wait until that is sent."""
+        """Notify the peer that this stream closes on purpose, and wait until that is sent."""
         self.send(pb.PeerMessage(closing=pb.Closing()))
         with suppress(TimeoutError):
             async with asyncio.timeout(CLOSING_TIMEOUT_S):
--- a/src/pomelobarrow/peers/table.py
+++ b/src/pomelobarrow/peers/table.py
@@ -50,7 +50,7 @@
 
 
 class PeerTable(Service):
-    """Keep links to neighbours in the region, to relays in other regions and to VMs in use."""
+    """Keep links to neighbours, to relays in other regions and to targets of forwards."""
 
     def __init__(
         self,
@@ -103,7 +103,7 @@
     @Service.task
     async def _review_all(self) -> None:
         while not self.should_stop:
-            self._notice_pause()
+            self._detect_pause()
             await self.review()
             await asyncio.sleep(REVIEW_EVERY_S)
 
@@ -321,7 +321,7 @@
             if delta is not None:
                 stream.send(delta)
 
-    def _notice_pause(self) -> None:
+    def _detect_pause(self) -> None:
         now = now_unix_s()
         gap_s = self._pauses.tick(now)
         self._view.observe_tick(now + self._pauses.longest_gap_s)
--- a/src/pomelobarrow/relay/directory_log.py
+++ b/src/pomelobarrow/relay/directory_log.py
@@ -1,4 +1,4 @@
-"""Report when callers of a failure domain are directed to other VMs than before."""
+"""Report when clients of a failure domain are directed to other VMs than before."""
 
 from collections.abc import Callable, Iterable
 
@@ -9,7 +9,7 @@
 from pomelobarrow.relay.events import DirectoryChanged
 from pomelobarrow.relay.wire import DirectoryQuery
 
-# Callers state their own location. More locations than this can only come from a faulty caller; the
+# Clients state their own location. More locations than this can only come from a faulty client; the
 # excess is not tracked.
 MAX_LOCATIONS = 64
 
@@ -18,7 +18,7 @@
 
 @define(kw_only=True)
 class DirectoryLog:
-    """Track the VMs last named to the callers of each failure domain and report changes."""
+    """Track the VMs last named to the clients of each failure domain and report changes."""
 
     view: MembershipView
     observe: Callable[[object], None]
--- a/src/pomelobarrow/relay/events.py
+++ b/src/pomelobarrow/relay/events.py
@@ -25,7 +25,7 @@
     group: str
     shared_tokens: int
     cached_tokens: int
-    # The mean age of the load that peers report about their own requests.
+    # The mean age of the loads that peers report about their own requests.
     view_age_s: float
     servers_usable: int
     time_left_s: float
@@ -90,7 +90,7 @@
 
 @frozen(kw_only=True)
 class DirectoryChanged:
-    """Report that callers of a failure domain are directed to other VMs than before."""
+    """Report that clients of a failure domain are directed to other VMs than before."""
 
     region: str
     failure_domain: str
--- a/src/pomelobarrow/relay/front.py
+++ b/src/pomelobarrow/relay/front.py
@@ -27,7 +27,7 @@
 
 # A VM that restarts listens shortly before it has read the configuration and the server list. After
 # a power loss all clients connect in that moment. A refused client comes back late, whereas the
-# lists take a few reads of some milliseconds. If the store doesn't answer, callers wait no longer
+# lists take a few reads of some milliseconds. If the store doesn't answer, clients wait no longer
 # than this.
 STARTUP_WAIT_S = 0.3
 CHECK_EVERY_S = 0.02
--- a/src/pomelobarrow/relay/health_monitor.py
+++ b/src/pomelobarrow/relay/health_monitor.py
@@ -15,7 +15,7 @@
 # Shorter times to the first answer depend more on the network than on the server.
 SLOWNESS_BASE_S = 0.1
 # A server that has not begun to answer after this multiple of the route's recent mean time, and not
-# before the minimum, is taken to hang or to have lost the request or its answer.
+# before the minimum, is assumed to hang or to have lost the request or its answer.
 TIME_LIMIT_FACTOR = 4.0
 MIN_TIME_LIMIT_S = 0.3
 # A queue that was known when the request was sent may take this many times as long as expected.
@@ -42,7 +42,7 @@
         sent_unix_s: float,
     ) -> None:
         """Record how an attempt ended; a refusal does not count against a server."""
-        # If that incarnation is gone, its successor must not be charged with the failure.
+        # If that incarnation was replaced, the failure must not count against its successor.
         if report.end is AttemptEnd.REFUSED or not self.table.is_current_incarnation(server):
             return
         now = now_unix_s()
--- a/src/pomelobarrow/relay/listeners.py
+++ b/src/pomelobarrow/relay/listeners.py
@@ -16,7 +16,7 @@
 # Longer than the published idle time: clients reuse connections that were idle for most of it.
 KEEPALIVE_S = 75.0
 BACKLOG = 1_024
-LAST_REFUSALS_S = 0.25
+IN_TRANSIT_WAIT_S = 0.25
 IDLE_CHECK_EVERY_S = 0.05
 
 log = structlog.get_logger(__name__)
@@ -86,7 +86,7 @@
         for each in self._opened:
             each.socket.close()
         # The request of a connection accepted just before may still be in transit.
-        await asyncio.sleep(LAST_REFUSALS_S)
+        await asyncio.sleep(IN_TRANSIT_WAIT_S)
         while self._in_progress():
             await asyncio.sleep(IDLE_CHECK_EVERY_S)
         transports = []
--- a/src/pomelobarrow/relay/relay.py
+++ b/src/pomelobarrow/relay/relay.py
@@ -71,7 +71,7 @@
         )
 
     async def answer(self, request: RelayRequest, routing: Routing, sink: ClientAnswer) -> None:
-        """Answer a request completely, or refuse it with the true state of its execution."""
+        """Answer a request completely, or refuse it and state whether it ran."""
         progress = RequestProgress(
             request=request,
             sink=sink,
