--- a/src/pomelobarrow/standin/engine.py
+++ b/src/pomelobarrow/standin/engine.py
@@ -10,7 +10,7 @@
 from pomelobarrow.standin.engine_routes import routes
 from pomelobarrow.standin.engine_state import Engine
 from pomelobarrow.standin.load_report import LaggingReport
-from pomelobarrow.standin.orders import OrderBook
+from pomelobarrow.standin.orders import EngineOrders
 from pomelobarrow.standin.prefix_cache import PrefixCache
 from pomelobarrow.standin.prompt import BLOCK_TOKENS
 from pomelobarrow.standin.runtime import (
@@ -70,7 +70,7 @@
         unknown_until_s=asyncio.get_running_loop().time() + options.unknown_after_start_s,
         batch=batch,
         cache=cache,
-        orders=OrderBook(checks_fencing=options.checks_fencing),
+        orders=EngineOrders(checks_fencing=options.checks_fencing),
     )
 
 
--- a/src/pomelobarrow/standin/engine_routes.py
+++ b/src/pomelobarrow/standin/engine_routes.py
@@ -97,7 +97,7 @@
         return json_response(engine.cache.events_after(after, time.time()))
 
     async def accept_order(request: web.Request) -> web.Response:
-        is_accepted = engine.orders.take(await read_json(request))
+        is_accepted = engine.orders.record(await read_json(request))
         payload = {"accepted": is_accepted, "fencing": engine.orders.fencing}
         return json_response(payload, status=200 if is_accepted else 409)
 
--- a/src/pomelobarrow/standin/engine_state.py
+++ b/src/pomelobarrow/standin/engine_state.py
@@ -11,7 +11,7 @@
 from pomelobarrow.standin import answer, prompt
 from pomelobarrow.standin.batch import Batch, Sequence
 from pomelobarrow.standin.jobs import Job
-from pomelobarrow.standin.orders import OrderBook
+from pomelobarrow.standin.orders import EngineOrders
 from pomelobarrow.standin.prefix_cache import PrefixCache
 from pomelobarrow.standin.run_log import MAX_LOGGED_RUNS, RunState, header_int
 from pomelobarrow.standin.runtime import RequestGate
@@ -28,7 +28,7 @@
     unknown_until_s: float
     batch: Batch
     cache: PrefixCache
-    orders: OrderBook
+    orders: EngineOrders
     gate: RequestGate = field(factory=RequestGate)
     leaving: bool = False
     refuse: bool = False
--- a/src/pomelobarrow/standin/orders.py
+++ b/src/pomelobarrow/standin/orders.py
@@ -7,14 +7,14 @@
 
 
 @define(kw_only=True)
-class OrderBook:
+class EngineOrders:
     """Log of the orders that an engine received and the last accepted fencing number."""
 
     checks_fencing: bool
     fencing: int = 0
     log: list[dict[str, Any]] = field(factory=list)
 
-    def take(self, order: Mapping[str, Any]) -> bool:
+    def record(self, order: Mapping[str, Any]) -> bool:
         """Log an order and return whether it is accepted."""
         fencing = int(order["fencing"])
         is_refused = self.checks_fencing and fencing < self.fencing
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -14,7 +14,7 @@
     orders_for,
 )
 from pomelobarrow.decision.work import BackendServer
-from pomelobarrow.standin.orders import OrderBook as EngineOrders
+from pomelobarrow.standin.orders import EngineOrders
 
 CHECKING = BackendServer(
     name="e1",
@@ -44,7 +44,7 @@
 
 def deliver(sent, engine):
     return all(
-        engine.take({"order": each.kind.value, "version": each.version, "fencing": sent.fencing})
+        engine.record({"order": each.kind.value, "version": each.version, "fencing": sent.fencing})
         for each in sent.orders
     )
 
