--- a/src/pomelobarrow/backends/engine.py
+++ b/src/pomelobarrow/backends/engine.py
@@ -127,7 +127,7 @@
         states that the request did not run.
         """
         body = await response.read()
-        if says_not_run(response.status, body):
+        if states_not_run(response.status, body):
             self.attempt.apply(AttemptEvent.REFUSE_UNRUN)
             return self._result(f"refused with {response.status}")
         if 400 <= response.status < 500:
@@ -155,10 +155,10 @@
         # Only resumes without new events count, as a long stream may be interrupted many times.
         empty_resumes = 0
         while not self.counter.is_ended and empty_resumes < MAX_RESUMES:
-            events_before = self.counter.whole_events
+            events_before = self.counter.complete_events
             if not await self._resume():
                 break
-            empty_resumes = 0 if self.counter.whole_events > events_before else empty_resumes + 1
+            empty_resumes = 0 if self.counter.complete_events > events_before else empty_resumes + 1
         if self.counter.is_ended:
             return await self._finish()
         reason = "the stream broke off and could not be resumed"
@@ -168,7 +168,7 @@
     async def _resume(self) -> bool:
         self.counter.drop_partial()
         path = f"/v1/requests/{self.request.work.request_id}/events"
-        params = {"offset": str(self.counter.whole_events)}
+        params = {"offset": str(self.counter.complete_events)}
         try:
             async with self.sessions.fresh.get(
                 self.sessions.url(self.server.address, path), params=params, timeout=_timeout()
@@ -247,7 +247,7 @@
             detail=detail,
             server=self.server.name,
             # Each event carries one token, except the last, which is the end event.
-            output_tokens=max(0, self.counter.whole_events - 1),
+            output_tokens=max(0, self.counter.complete_events - 1),
         )
 
     def _mark_sent(self) -> None:
@@ -275,9 +275,9 @@
 
 
 def _streaming_body(request: GatewayRequest) -> bytes:
-    """Return a body that asks for a stream, as only a stream can be resumed.
+    """Return a body that asks for a stream.
 
-    A stream's silence also reveals a lost connection.
+    Only a stream can be resumed, and its silence reveals a lost connection.
     """
     if request.is_streamed:
         return request.body
@@ -287,7 +287,7 @@
     return orjson.dumps(body)
 
 
-def says_not_run(status: int, body: bytes) -> bool:
+def states_not_run(status: int, body: bytes) -> bool:
     """Return whether a backend server's answer states that the request did not run."""
     if status != 503:
         return False
--- a/src/pomelobarrow/backends/events.py
+++ b/src/pomelobarrow/backends/events.py
@@ -9,14 +9,14 @@
 
 @define
 class EventCounter:
-    """Split a byte stream into events; only complete events are passed on."""
+    """Count the events of a byte stream and hold back an incomplete one."""
 
-    whole_events: int = 0
+    complete_events: int = 0
     is_ended: bool = False
     _partial: bytes = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Return the events that these bytes complete, up to the end event."""
+        """Add received bytes; return the events that are complete now, up to the end event."""
         if self.is_ended:
             return b""
         if self._partial:
@@ -27,7 +27,7 @@
             return b""
         self._partial = data[boundary:]
         whole = data[:boundary] if self._partial else data
-        self.whole_events += whole.count(SEPARATOR)
+        self.complete_events += whole.count(SEPARATOR)
         # Nothing after the first end event belongs to the answer, not even a second end event.
         end = whole.find(END_EVENT)
         if end < 0:
--- a/src/pomelobarrow/backends/plugin.py
+++ b/src/pomelobarrow/backends/plugin.py
@@ -152,7 +152,7 @@
                 number=1,
                 sink=sink,
                 on_first_byte=lambda: None,
-                counter=EventCounter(whole_events=from_event),
+                counter=EventCounter(complete_events=from_event),
                 is_continuation=True,
             ).run()
             span.set("state", result.state.value)
--- a/src/pomelobarrow/backends/server_watch.py
+++ b/src/pomelobarrow/backends/server_watch.py
@@ -1,4 +1,4 @@
-"""Detect whether a backend server ended when it closed a connection without an answer."""
+"""Detect whether a backend server that closed a connection without an answer has ended."""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -25,7 +25,8 @@
     server: str
     pool: str
     requests: int
-    # Of at most MAX_LOGGED_FINGERPRINTS of these requests, as in the log line `relay ended`.
+    # The fingerprints of at most MAX_LOGGED_FINGERPRINTS of these requests, formatted as in the log
+    # line `relay ended`.
     fingerprints: tuple[str, ...]
 
 
--- a/src/pomelobarrow/backends/service.py
+++ b/src/pomelobarrow/backends/service.py
@@ -6,7 +6,7 @@
 import aiohttp
 from attrs import define
 
-from pomelobarrow.backends.engine import CONNECTION_ERRORS, says_not_run
+from pomelobarrow.backends.engine import CONNECTION_ERRORS, states_not_run
 from pomelobarrow.backends.sessions import CONNECT_TIMEOUT_S, BackendSessions
 from pomelobarrow.decision.attempt import Attempt, AttemptEvent, AttemptState
 from pomelobarrow.decision.work import BackendServer
@@ -56,7 +56,7 @@
             trace_request_ctx=lambda: self.attempt.apply(AttemptEvent.SEND),
         ) as response:
             self.on_headers(response.headers)
-            if response.status == 503 and says_not_run(503, body := await response.read()):
+            if response.status == 503 and states_not_run(503, body := await response.read()):
                 self.attempt.apply(AttemptEvent.REFUSE_UNRUN)
                 return self._result("refused with 503")
             self.attempt.apply(AttemptEvent.FIRST_BYTE)
--- a/src/pomelobarrow/backends/sessions.py
+++ b/src/pomelobarrow/backends/sessions.py
@@ -24,7 +24,7 @@
 
 
 class BrokenConnectionError(aiohttp.ClientConnectionError):
-    """Report a connection lost after the request may have been sent; it was not resent."""
+    """Raised if a connection is lost after the request may have been sent; it was not resent."""
 
 
 class BackendSessions:
@@ -106,8 +106,8 @@
 ) -> aiohttp.ClientResponse:
     """Prevent aiohttp from resending a GET, PUT or DELETE by raising an error that it won't retry.
 
-    The first one may have arrived, so a PUT that must not be repeated could run twice. Retries are
-    up to the dispatcher, which has the request's class and the progress of the attempt.
+    The first request may have arrived, so a PUT that must not be repeated could run twice. Retries
+    are up to the dispatcher, which has the request's class and the progress of the attempt.
     """
     try:
         return await handler(request)
--- a/src/pomelobarrow/backends/whole_answer.py
+++ b/src/pomelobarrow/backends/whole_answer.py
@@ -11,11 +11,11 @@
 
 
 class TooLargeError(ValueError):
-    """Report an answer that is too large to buffer."""
+    """Raised if an answer is too large to buffer."""
 
 
 class WholeAnswer:
-    """Collect events and build a chat completion in JSON from them."""
+    """Buffer a stream's events and build one chat completion in JSON from them."""
 
     def __init__(self, max_bytes: int) -> None:
         self._max_bytes = max_bytes
--- a/src/pomelobarrow/callers/gateway.py
+++ b/src/pomelobarrow/callers/gateway.py
@@ -273,8 +273,8 @@
 def _unknown_run_if_repeat(refusal: Refusal, headers: Mapping[str, str]) -> Refusal:
     """Set run to "unknown" if the request repeats an issued id that was not looked up yet.
 
-    The refused repeat did not run, but the first request may have. On "not run" the caller would
-    send it again.
+    The refused repeat did not run, but the first request may have run. If the refusal stated "not
+    run", the caller would send the request again.
     """
     if parsing.is_issued(headers.get(parsing.KEY_HEADER, "")):
         return evolve(refusal, run=RunStatus.UNKNOWN)
--- a/src/pomelobarrow/kernel/context.py
+++ b/src/pomelobarrow/kernel/context.py
@@ -11,11 +11,11 @@
 
 
 class MissingPartError(LookupError):
-    """Report a part that no plug-in provides."""
+    """Raised if no plug-in provides a part."""
 
 
 class Context:
-    """Give plug-ins access to the settings, this start's incarnation and the shared parts."""
+    """Give plug-ins access to the settings, the daemon's incarnation and the shared parts."""
 
     def __init__(self, settings: Settings, incarnation: int, hooks: pluggy.PluginManager) -> None:
         self.settings = settings
--- a/src/pomelobarrow/kernel/daemon.py
+++ b/src/pomelobarrow/kernel/daemon.py
@@ -19,8 +19,9 @@
 
 EXIT_OK = 0
 EXIT_FAILED = 1
-# Allocations before a collection, then collections of a generation before one of the next. Requests
-# create few reference cycles; the default of 700 collects tens of times a second under load.
+# Arguments of gc.set_threshold: allocations before a collection of the youngest generation, then
+# collections of one generation before one of the next. Requests create few reference cycles; the
+# default of 700 collects tens of times a second under load.
 GC_THRESHOLDS = (10_000, 20, 20)
 
 SettingsLoader = Callable[[], Result[Settings, tuple[Fault, ...]]]
--- a/src/pomelobarrow/kernel/hooks.py
+++ b/src/pomelobarrow/kernel/hooks.py
@@ -17,7 +17,7 @@
 
 
 class StartPhase(enum.IntEnum):
-    """Order the start of services; they stop in the reverse order."""
+    """Phases in which services start; they stop in the reverse order."""
 
     PLATFORM = 1
     PEERS = 2
@@ -28,7 +28,7 @@
 
 @frozen
 class PhasedService:
-    """Pair a service with the phase it starts in."""
+    """Service with the phase it starts in."""
 
     phase: StartPhase
     service: Service
@@ -36,7 +36,7 @@
 
 @frozen
 class StatusSection:
-    """Name one section of the status answer and list its values."""
+    """Section of the status answer."""
 
     name: str
     values: dict[str, Any]
--- a/src/pomelobarrow/kernel/plugins.py
+++ b/src/pomelobarrow/kernel/plugins.py
@@ -27,6 +27,6 @@
 
 
 def _has_plugin(package: str) -> bool:
-    """Look for the file; the import system would import the subpackage, stand-ins included."""
+    """Return whether the file exists; find_spec would import the subpackage, even the stand-ins."""
     folders = [Path(each) / package for each in pomelobarrow.__path__]
     return any((folder / f"{PLUGIN_MODULE}.py").is_file() for folder in folders)
--- a/src/pomelobarrow/kernel/settings.py
+++ b/src/pomelobarrow/kernel/settings.py
@@ -37,14 +37,14 @@
 
 
 class TraceExporter(enum.Enum):
-    """Name where spans are exported to."""
+    """Destinations of exported spans."""
 
     OFF = "off"
     STDERR = "stderr"
 
 
 class LogLevel(enum.Enum):
-    """Name the least severe level that is logged."""
+    """Least severe level that is logged."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -57,7 +57,7 @@
 
 @frozen(kw_only=True)
 class CallerSettings:
-    """Configure the addresses and the body limit for callers."""
+    """Addresses and body limit for callers."""
 
     listen: str
     advertise: str
@@ -66,7 +66,7 @@
 
 @frozen(kw_only=True)
 class PeerKey:
-    """Describe a shared key that authenticates peers; the first listed one signs."""
+    """Shared key that authenticates peers; the first listed one signs."""
 
     id: str
     secret: str = field(repr=False)
@@ -74,7 +74,7 @@
 
 @frozen(kw_only=True)
 class PeerSettings:
-    """Configure the addresses for peers, their keys and the peers to contact first."""
+    """Addresses for peers, their keys and the peers to contact first."""
 
     listen: str
     advertise: str
@@ -84,14 +84,14 @@
 
 @frozen(kw_only=True)
 class PlatformSettings:
-    """Configure the platform's addresses."""
+    """Addresses of the platform."""
 
     addresses: tuple[str, ...]
 
 
 @frozen(kw_only=True)
 class RelaySettings:
-    """Configure the addresses and limits of the relay, which forwards requests unchanged."""
+    """Addresses and limits of the relay, which forwards requests unchanged."""
 
     front_listen: str
     readiness_listen: str
@@ -113,7 +113,7 @@
 
 @frozen(kw_only=True)
 class OperatorSettings:
-    """Configure the log level and the export of traces."""
+    """Log level and export of traces."""
 
     log_level: LogLevel = LogLevel.INFO
     trace: TraceExporter = TraceExporter.OFF
@@ -121,7 +121,7 @@
 
 @frozen(kw_only=True)
 class Settings:
-    """Configure one VM."""
+    """Settings of one VM."""
 
     vm: str
     region: str
@@ -130,7 +130,7 @@
     peers: PeerSettings
     platform: PlatformSettings
     operators: OperatorSettings = Factory(OperatorSettings)
-    # None if requests arrive only through the product's own interface.
+    # None if no relay runs; requests then arrive only through the callers' HTTP server.
     relay: RelaySettings | None = None
     # Maps an advertised address to the address to dial instead, such as a proxy's in a test.
     dial: Mapping[str, str] = Factory(dict)
@@ -142,7 +142,7 @@
 
 @frozen(kw_only=True)
 class _Section:
-    """Describe how one section is read and built."""
+    """How one section of the file is read and built."""
 
     specs: Mapping[str, FieldSpec]
     build: Callable[..., Any]
--- a/src/pomelobarrow/kernel/yaml_file.py
+++ b/src/pomelobarrow/kernel/yaml_file.py
@@ -16,7 +16,7 @@
 
 
 class _RepeatedKeyError(yaml.constructor.ConstructorError):
-    """Report a key that a mapping states twice."""
+    """Raised if a mapping states a key twice."""
 
 
 class _UniqueKeyLoader(yaml.SafeLoader):
@@ -38,7 +38,7 @@
 
 
 def read_file(path: Path) -> Result[Any, Fault]:
-    """Read and decode a file, as JSON when it is named so, else as YAML."""
+    """Read and decode a file, as JSON if its name ends in .json, else as YAML."""
     try:
         with path.open("rb") as file:
             content = file.read(MAX_FILE_BYTES + 1)
@@ -53,7 +53,7 @@
 
 
 def decode_json(content: bytes, path: str) -> Result[Any, Fault]:
-    """Decode JSON; a fault names the line only."""
+    """Decode JSON; a fault states only the line, never its text."""
     try:
         return Ok(orjson.loads(content))
     except orjson.JSONDecodeError as error:
@@ -63,7 +63,7 @@
 
 
 def decode_yaml(content: bytes, path: str) -> Result[Any, Fault]:
-    """Decode YAML; a fault names the line only."""
+    """Decode YAML; a fault states only the line, never its text."""
     try:
         # The loader derives from SafeLoader, so it builds plain values only.
         return Ok(yaml.load(content, Loader=_UniqueKeyLoader))
--- a/src/pomelobarrow/operators/output.py
+++ b/src/pomelobarrow/operators/output.py
@@ -28,7 +28,7 @@
 
 
 class LossyStream:
-    """Wrapper of a stream that drops output which can't be written.
+    """Wrapper of a stream that ignores write errors and drops the output concerned.
 
     When the process that reads stderr has died, a write raises BrokenPipeError. Without this
     wrapper the next request that logs a line would fail; losing the line is preferable.
--- a/src/pomelobarrow/operators/request_trail.py
+++ b/src/pomelobarrow/operators/request_trail.py
@@ -72,7 +72,7 @@
 
 
 def _server_counts(lines: list[Line]) -> str:
-    """Return the numbers of servers that were logged when the request wasn't placed."""
+    """Return the server counts of the last log line that reports a request as not placed."""
     seen = [line for line in lines if line.get("event") == RELAY_NOT_PLACED_EVENT]
     if not seen:
         return ""
--- a/src/pomelobarrow/operators/traces.py
+++ b/src/pomelobarrow/operators/traces.py
@@ -1,4 +1,4 @@
-"""Record a span for each hop and propagate the W3C traceparent; off by default."""
+"""Record a span for each hop of a request and propagate the W3C traceparent; off by default."""
 
 import sys
 from collections.abc import Callable, Mapping
--- a/src/pomelobarrow/platform/records.py
+++ b/src/pomelobarrow/platform/records.py
@@ -63,7 +63,7 @@
 
 
 def native_sources() -> Mapping[str, KeyspaceSource]:
-    """Return where a store that holds the product's own values has each keyspace."""
+    """Return where a store whose values need no translation holds each keyspace."""
 
     def config_key(stored_key: str) -> str:
         return stored_key.removeprefix(f"{CONFIG}/")
@@ -176,7 +176,7 @@
 
 
 def _silence_patience_s(first_answer_target_s: float, gap_target_s: float) -> float:
-    """Return after how much silence clients leave a stream, by the platform's documentation."""
+    """Return the silence after which clients leave a stream, per the platform's documentation."""
     return max(2.0, 4.0 * first_answer_target_s, 8.0 * gap_target_s)
 
 
--- a/src/pomelobarrow/platform/store.py
+++ b/src/pomelobarrow/platform/store.py
@@ -33,7 +33,7 @@
 
 @frozen(kw_only=True)
 class KeyspaceSource:
-    """Describe where the store holds a keyspace and how its items are translated."""
+    """Where the store holds a keyspace and how its items are translated."""
 
     prefix: str
     key_of: Callable[[str], str | None]
@@ -146,7 +146,7 @@
 
 
 def _last_key(items: Sequence[Any]) -> str:
-    """Return the key after which the next page begins; another writer's item may have none."""
+    """Return the last key of a page; items of other writers may have no key."""
     return next(item["Key"] for item in reversed(items) if _is_keyed(item))
 
 
--- a/src/pomelobarrow/platform/wire.py
+++ b/src/pomelobarrow/platform/wire.py
@@ -39,7 +39,7 @@
 SERVER_LOAD = "Pomelobarrow-Server-Load"
 
 # The requests a second that the server accepts from all machines together. The platform documents
-# the name without the prefix; no message that was seen confirms this, so both names are accepted.
+# the name without the prefix; no observed message confirms it, so both names are accepted.
 SERVER_LIMITS = ("Server-Limit", "Pomelobarrow-Server-Limit")
 
 WRONG_SERVER_STATUS = 421
@@ -97,7 +97,7 @@
 
 
 def read_request(headers: Mapping[str, str]) -> Result[RequestHead, str]:
-    """Parse a client's headers; the error says what is wrong with them."""
+    """Parse a client's headers; return a description of the fault if they are malformed."""
     request_id = headers.get(REQUEST_ID, "")
     if not request_id:
         return Err(f"{REQUEST_ID} is missing")
--- a/src/pomelobarrow/published/keyspaces.py
+++ b/src/pomelobarrow/published/keyspaces.py
@@ -17,17 +17,18 @@
 
 CONFIG = "config"
 VMS = "vms"
-# The source of a change that no update caused: leases expired and weren't renewed in time.
+# The source of a change that removes servers whose leases expired and weren't renewed in time.
 SOURCE_LEASE_EXPIRY = "lapsed leases"
 
 log = structlog.get_logger(__name__)
 
+# Called with the name of the changed keyspace and the source of the change.
 AppliedListener = Callable[[str, str], None]
 
 
 @define(kw_only=True)
 class PublishedState:
-    """Keep the copies of both keyspaces; notify listeners (keyspace, source) of each change."""
+    """Keep copies of both keyspaces and their parsed values; notify listeners of changes."""
 
     observe: Callable[[object], None]
     checker: ConfigurationChecker = field(factory=ConfigurationChecker)
--- a/src/pomelobarrow/published/store_reader.py
+++ b/src/pomelobarrow/published/store_reader.py
@@ -28,7 +28,7 @@
 
 @frozen(kw_only=True)
 class Page:
-    """Carry the changes of a keyspace up to a head revision."""
+    """Changes of a keyspace up to a head revision."""
 
     changes: tuple[Change, ...]
     head_revision: int
@@ -42,7 +42,7 @@
 
 @frozen(kw_only=True)
 class StoreReader:
-    """Bundle the functions that read the platform's store."""
+    """The functions that read the platform's store."""
 
     read_all: ListReader
     read_changes: ChangeReader
--- a/src/pomelobarrow/published/vms.py
+++ b/src/pomelobarrow/published/vms.py
@@ -10,7 +10,8 @@
 KEY_PREFIX = "vms/"
 ROLE_ENTRY = "entry"
 ROLE_BACKEND_SERVER = "backend_server"
-# An entry that can't be decoded: it lists no VM, and the VM that its key listed before is removed.
+# The role of an entry that can't be decoded. It describes no VM; a VM that was listed before under
+# its key is removed.
 ROLE_UNUSABLE = "unusable"
 STATE_LEAVING = "leaving"
 REQUIRED_FIELDS = {
@@ -19,14 +20,14 @@
     ROLE_UNUSABLE: (),
 }
 DEFAULT_KV_CAPACITY_TOKENS = 1 << 17
-# Servers register again within two seconds of the end of a store outage; one that hasn't by then
-# is gone.
+# Servers register again within two seconds of the end of a store outage; a server that hasn't by
+# then has ended.
 LEASE_GRACE_S = 2.0
 
 
 @frozen(kw_only=True)
 class EntryVm:
-    """Describe an entry VM as the platform lists it."""
+    """Entry VM as the platform lists it."""
 
     name: str
     region: str
@@ -66,7 +67,7 @@
     def update(self, values: Mapping[str, Any], now_unix_s: float) -> None:
         """Replace the list by a checked one."""
         for key in self._parsed.keys() - values.keys():
-            self._note_removed(key, now_unix_s)
+            self._keep_if_lease_expired(key, now_unix_s)
             del self._parsed[key], self._values[key]
         for key, value in values.items():
             if self._values.get(key) is not value:
@@ -89,7 +90,7 @@
             self._rebuild()
         return bool(due)
 
-    def _note_removed(self, key: str, now_unix_s: float) -> None:
+    def _keep_if_lease_expired(self, key: str, now_unix_s: float) -> None:
         """Keep a server for a grace period after its lease expired.
 
         Leases also expire while the store is down. If servers were removed at once, a pool would
--- a/src/pomelobarrow/published/watcher.py
+++ b/src/pomelobarrow/published/watcher.py
@@ -1,4 +1,4 @@
-"""Keep the keyspaces up to date: a few watchers a region use long polls, other VMs read rarely."""
+"""Keep the keyspaces current: a few watchers per region use long polls, other VMs read rarely."""
 
 import asyncio
 import contextlib
@@ -25,9 +25,9 @@
 # and a change may take seconds to come into force.
 READ_INTERVAL_S = 0.25
 # A daemon that isn't a watcher receives changes from its peers, and becomes a watcher if the
-# watchers fall silent. This read covers changes that neither brings. At an interval of 30 s it made
-# up two fifths of the calls of 195 VMs in a quiet minute, and still came later than the time in
-# which any change has to be in force.
+# watchers fall silent. The idle read finds changes that are missed in both ways. With an interval
+# of 30 s, idle reads are two fifths of the calls of 195 VMs in a quiet minute, and still come later
+# than the time within which any change has to be in force.
 IDLE_READ_INTERVAL_S = 300.0
 MIN_RETRY_DELAY_S = 0.2
 # After an outage, the store must be read before the time limits for configuration changes and
--- a/src/pomelobarrow/standin/commands.py
+++ b/src/pomelobarrow/standin/commands.py
@@ -47,7 +47,7 @@
 
 
 class StandinCommand(Command):
-    """Parse the options of a stand-in and run it."""
+    """Command that parses the options of a stand-in and runs it."""
 
     program: ClassVar[Program]
 
--- a/src/pomelobarrow/standin/flow.py
+++ b/src/pomelobarrow/standin/flow.py
@@ -57,19 +57,19 @@
         self._pending_bytes += len(data)
         # If a delivery is scheduled, the bytes queued before these are not due yet.
         if self._timer is None or self._pending_bytes > MAX_PENDING_BYTES:
-            self.pump()
+            self.deliver_due()
 
     def set_held(self, held: bool) -> None:
         """Hold all delivery, or continue with the queued bytes."""
         self.is_held = held
-        self.pump()
+        self.deliver_due()
 
     def set_sink_full(self, full: bool) -> None:
         """Pause reading from the source while the sink's write buffer is full."""
         self._is_sink_full = full
         self._update_reading()
 
-    def pump(self) -> None:
+    def deliver_due(self) -> None:
         """Deliver the bytes that are due and schedule the next delivery."""
         loop = asyncio.get_running_loop()
         while self._can_deliver() and self._pending[0][0] <= loop.time():
@@ -78,7 +78,7 @@
             self._timer.cancel()
             self._timer = None
         if self._can_deliver():
-            self._timer = loop.call_at(self._pending[0][0], self.pump)
+            self._timer = loop.call_at(self._pending[0][0], self.deliver_due)
         self._update_reading()
 
     def close(self) -> None:
--- a/src/pomelobarrow/standin/load_entries.py
+++ b/src/pomelobarrow/standin/load_entries.py
@@ -20,7 +20,7 @@
 
 @define(kw_only=True)
 class EntryBook:
-    """Entry VMs of one class, best first, and issued request ids; refreshed when they expire."""
+    """Cache of a class's entry VMs, best first, and of issued request ids, refreshed on expiry."""
 
     session: aiohttp.ClientSession
     class_name: str
--- a/src/pomelobarrow/standin/orders.py
+++ b/src/pomelobarrow/standin/orders.py
@@ -8,7 +8,7 @@
 
 @define(kw_only=True)
 class EngineOrders:
-    """Log of the orders that an engine received and the last accepted fencing number."""
+    """Log of the orders that an engine has received, with the last accepted fencing number."""
 
     checks_fencing: bool
     fencing: int = 0
--- a/src/pomelobarrow/standin/relay.py
+++ b/src/pomelobarrow/standin/relay.py
@@ -54,8 +54,8 @@
         assert isinstance(transport, asyncio.Transport)
         self.outgoing.source = transport
         self.incoming.sink = transport
-        self.outgoing.pump()
-        self.incoming.pump()
+        self.outgoing.deliver_due()
+        self.incoming.deliver_due()
 
     def data_received(self, data: bytes) -> None:
         """Queue received bytes."""
