--- a/src/pomelobarrow/backends/engine.py
+++ b/src/pomelobarrow/backends/engine.py
@@ -40,8 +40,8 @@
 UNKNOWN = "unknown"
 # Allows for a step of this VM's clock between sending the request and cancelling it.
 UPTIME_MARGIN_S = 1.0
-HEAD_STREAM = (("Content-Type", SERVER_SENT_EVENTS), ("Cache-Control", "no-cache"))
-HEAD_WHOLE = (("Content-Type", "application/json"),)
+STREAM_HEADERS = (("Content-Type", SERVER_SENT_EVENTS), ("Cache-Control", "no-cache"))
+JSON_HEADERS = (("Content-Type", "application/json"),)
 CONNECTION_ERRORS = (aiohttp.ClientError, TimeoutError, OSError)
 
 
@@ -132,7 +132,7 @@
             return self._result(f"refused with {response.status}")
         if 400 <= response.status < 500:
             self.attempt.apply(AttemptEvent.FIRST_BYTE)
-            await self._pass_head(response.status, HEAD_WHOLE)
+            await self._pass_head(response.status, JSON_HEADERS)
             await self.sink.chunk(body)
             return await self._finish()
         return self._unknown_result(f"answered {response.status}")
@@ -147,7 +147,7 @@
                 self.whole.feed(events)
                 continue
             if not self.head_passed:
-                await self._pass_head(200, HEAD_STREAM)
+                await self._pass_head(200, STREAM_HEADERS)
             await self.sink.chunk(events)
 
     async def _resume_until_ended(self) -> AttemptResult:
@@ -194,7 +194,7 @@
     async def _finish(self) -> AttemptResult:
         if self.whole is not None and not self.head_passed:
             body = self.whole.body()
-            await self._pass_head(200, (*HEAD_WHOLE, ("Content-Length", str(len(body)))))
+            await self._pass_head(200, (*JSON_HEADERS, ("Content-Length", str(len(body)))))
             await self.sink.chunk(body)
         await self.sink.end()
         self.attempt.apply(AttemptEvent.END)
--- a/src/pomelobarrow/backends/sessions.py
+++ b/src/pomelobarrow/backends/sessions.py
@@ -92,13 +92,13 @@
     power. Without the probes its request would wait until its deadline.
     """
     family, kind, protocol, _, _ = address
-    made = socket.socket(family=family, type=kind, proto=protocol)
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER_S)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_EVERY_S)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
-    return made
+    probed = socket.socket(family=family, type=kind, proto=protocol)
+    probed.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    probed.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER_S)
+    probed.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_EVERY_S)
+    probed.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
+    probed.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+    return probed
 
 
 async def _never_resend(
--- a/src/pomelobarrow/backends/whole_answer.py
+++ b/src/pomelobarrow/backends/whole_answer.py
@@ -7,7 +7,7 @@
 from pomelobarrow.backends.events import SEPARATOR
 from pomelobarrow.dispatch.answers import END_EVENT
 
-DATA = b"data: "
+DATA_PREFIX = b"data: "
 
 
 class TooLargeError(ValueError):
@@ -32,7 +32,7 @@
     def body(self) -> bytes:
         """Return the answer as JSON."""
         events = b"".join(self._parts).removesuffix(END_EVENT).split(SEPARATOR)
-        chunks = [orjson.loads(each.removeprefix(DATA)) for each in events if each]
+        chunks = [orjson.loads(each.removeprefix(DATA_PREFIX)) for each in events if each]
         return orjson.dumps(_merge(chunks))
 
 
