--- a/src/pomelobarrow/backends/sessions.py
+++ b/src/pomelobarrow/backends/sessions.py
@@ -24,7 +24,7 @@
 
 
 class BrokenConnectionError(aiohttp.ClientConnectionError):
-    """Report a connection lost after the request may have been sent; it was not resent."""
+    """Raised if a connection is lost after the request may have been sent; it was not resent."""
 
 
 class BackendSessions:
@@ -92,13 +92,13 @@
     power. Without the probes its request would wait until its deadline.
     """
     family, kind, protocol, _, _ = address
-    made = socket.socket(family=family, type=kind, proto=protocol)
-    made.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER_S)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_EVERY_S)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
-    made.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
-    return made
+    probed = socket.socket(family=family, type=kind, proto=protocol)
+    probed.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    probed.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER_S)
+    probed.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_EVERY_S)
+    probed.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
+    probed.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+    return probed
 
 
 async def _never_resend(
@@ -106,8 +106,8 @@
 ) -> aiohttp.ClientResponse:
     """Prevent aiohttp from resending a GET, PUT or DELETE by raising an error that it won't retry.
 
-    The first one may have arrived, so a PUT that must not be repeated could run twice. Retries are
-    up to the dispatcher, which has the request's class and the progress of the attempt.
+    The first request may have arrived, so a PUT that must not be repeated could run twice. Retries
+    are up to the dispatcher, which has the request's class and the progress of the attempt.
     """
     try:
         return await handler(request)
--- a/src/pomelobarrow/backends/whole_answer.py
+++ b/src/pomelobarrow/backends/whole_answer.py
@@ -7,15 +7,15 @@
 from pomelobarrow.backends.events import SEPARATOR
 from pomelobarrow.dispatch.answers import END_EVENT
 
-DATA = b"data: "
+DATA_PREFIX = b"data: "
 
 
 class TooLargeError(ValueError):
-    """Report an answer that is too large to buffer."""
+    """Raised if an answer is too large to buffer."""
 
 
 class WholeAnswer:
-    """Collect events and build a chat completion in JSON from them."""
+    """Buffer a stream's events and build one chat completion in JSON from them."""
 
     def __init__(self, max_bytes: int) -> None:
         self._max_bytes = max_bytes
@@ -32,7 +32,7 @@
     def body(self) -> bytes:
         """Return the answer as JSON."""
         events = b"".join(self._parts).removesuffix(END_EVENT).split(SEPARATOR)
-        chunks = [orjson.loads(each.removeprefix(DATA)) for each in events if each]
+        chunks = [orjson.loads(each.removeprefix(DATA_PREFIX)) for each in events if each]
         return orjson.dumps(_merge(chunks))
 
 
