--- a/src/pomelobarrow/callers/operations.py
+++ b/src/pomelobarrow/callers/operations.py
@@ -102,7 +102,7 @@
         local = self.dispatcher.local
         placement = choose_server(local.table, work, now_unix_s(), local.rng, frozenset())
         if placement is None:
-            return "no server can accept the request now: it would wait in the queue"
+            return "none has room now: it would wait in the queue"
         return {
             "name": placement.server.name,
             "reason": placement.reason,
--- a/src/pomelobarrow/callers/server.py
+++ b/src/pomelobarrow/callers/server.py
@@ -13,7 +13,7 @@
 MAX_HEADER_BYTES = 16 << 10
 KEEPALIVE_S = 75.0
 SHUTDOWN_TIMEOUT_S = 1.0
-FINAL_REQUESTS_GRACE_S = 0.25
+IN_TRANSIT_WAIT_S = 0.25
 FLUSH_POLL_S = 0.02
 # A caller that reads nothing for this long is considered disconnected.
 READ_STALL_TIMEOUT_S = 30.0
@@ -61,7 +61,7 @@
             await site.stop()
         # The request of a connection that was just accepted is still in transit. If the connection
         # were closed now, the caller would see a reset instead of the refusal.
-        await asyncio.sleep(FINAL_REQUESTS_GRACE_S)
+        await asyncio.sleep(IN_TRANSIT_WAIT_S)
         transports = [each.transport for each in runner.server.connections]
         runner.server.pre_shutdown()
         await runner.server.shutdown(None)
