--- a/bench/decisions/server_ways.py
+++ b/bench/decisions/server_ways.py
@@ -1,4 +1,4 @@
-"""Compare ways to choose a server, and ways to dispatch."""
+"""Compare policies for server choice and dispatch."""
 
 from typing import Any
 
@@ -10,8 +10,11 @@
 from bench.fakes.traffic import Source, Traffic
 from bench.fakes.ways import BASELINES, CHARGED, OWNER, SHIPPED, subset
 
-WAYS = {way.name: way for way in (*BASELINES, CHARGED, SHIPPED, OWNER, subset(3), subset(20))}
-# Drafts repeat their prefixes, so that a region with warm caches takes more than its cold capacity.
+VARIANTS = {
+    variant.name: variant
+    for variant in (*BASELINES, CHARGED, SHIPPED, OWNER, subset(3), subset(20))
+}
+# Drafts repeat their prefixes, so a region with warm caches can serve more than its cold capacity.
 DRAFT_LOAD = 1.2
 REVIEW_LOAD = 0.85
 FAULT_UNIX_S = 20.0
@@ -20,18 +23,18 @@
 
 
 def run(
-    kind: str, way_name: str, daemons: int, servers: int, seconds: float, seed: int
+    kind: str, variant_name: str, daemons: int, servers: int, seconds: float, seed: int
 ) -> dict[str, Any]:
-    """Measure one way at one size."""
-    way = WAYS[way_name]
+    """Measure one variant at one region size."""
+    variant = VARIANTS[variant_name]
     traffic, spec, per_s = _load(kind, daemons, servers)
-    region = FakeRegion(Clock(), spec, way, seed, traffic.pool)
+    region = FakeRegion(Clock(), spec, variant, seed, traffic.pool)
     region.feed(Source(traffic, seed, region.name), lambda _: per_s, seconds)
     region.clock.run_until(seconds + DRAIN_S)
     records = [r for r in region.records if r.work.accepted_unix_s > 0.25 * seconds]
     return {
         "kind": kind,
-        "way": way_name,
+        "way": variant_name,
         "daemons": daemons,
         "servers": servers,
         "seed": seed,
@@ -41,30 +44,31 @@
     }
 
 
-def run_fault(way_name: str, fault: str, seed: int) -> dict[str, Any]:
-    """Measure what a dead or frozen daemon costs the callers of all others."""
+def run_fault(variant_name: str, fault: str, seed: int) -> dict[str, Any]:
+    """Measure how a dead or frozen daemon affects the callers of the other daemons."""
     traffic, spec, per_s = _load("review", 6, 9)
-    region = FakeRegion(Clock(), spec, WAYS[way_name], seed, traffic.pool)
+    region = FakeRegion(Clock(), spec, VARIANTS[variant_name], seed, traffic.pool)
     region.feed(Source(traffic, seed, region.name), lambda _: 0.7 * per_s, 40.0)
-    gone = region.daemons[0]
+    stopped = region.daemons[0]
     frozen_s = FREEZE_S if fault == "frozen" else None
-    region.clock.at(FAULT_UNIX_S, lambda: region.stop(gone, frozen_s))
+    region.clock.at(FAULT_UNIX_S, lambda: region.stop(stopped, frozen_s))
     region.clock.run_until(80.0)
     after = [
         r
         for r in region.records
-        if FAULT_UNIX_S - 1.0 < r.work.accepted_unix_s < FAULT_UNIX_S + 6.0 and r.entry != gone.name
+        if FAULT_UNIX_S - 1.0 < r.work.accepted_unix_s < FAULT_UNIX_S + 6.0
+        and r.entry != stopped.name
     ]
     before = [r for r in region.records if 8.0 < r.work.accepted_unix_s < FAULT_UNIX_S - 3.0]
     return {
-        "way": way_name,
+        "way": variant_name,
         "fault": fault,
         "seed": seed,
         "others_lost": sum(r.first_token_unix_s is None for r in after),
         "others_late_3_s": sum(r.first_token_s > 3.0 for r in after),
         "late_3_s_before": sum(r.first_token_s > 3.0 for r in before) / max(1, len(before)),
         "others": len(after),
-        "stuck_forwards": region.stuck,
+        "stuck_forwards": region.stuck_forwards,
     }
 
 
@@ -77,7 +81,7 @@
     )
     if kind == "draft":
         return traffic, spec, DRAFT_LOAD * cold_per_s
-    # The system prompt is cached everywhere, so that much of the prefill never comes.
+    # The system prompt is cached on every engine, so that its prefill is not repeated.
     cached = traffic.system_tokens / traffic.prompt_tokens_mean
     return traffic, spec, REVIEW_LOAD * cold_per_s / (1.0 - cached)
 
@@ -93,5 +97,5 @@
 
 
 def _messages(region: FakeRegion) -> int:
-    """Count requests to servers, forwards with their answers, heartbeats and polls."""
+    """Return the count of placements, forwards with their answers, heartbeats and polls."""
     return region.placements + 2 * region.forwards + region.exchange.messages
--- a/bench/replay/__main__.py
+++ b/bench/replay/__main__.py
@@ -1,4 +1,4 @@
-"""Play load patterns of worst moments; print what became of the requests, and draw a plot."""
+"""Replay peak load patterns, print the results of the requests and draw a plot."""
 
 from collections import Counter
 from pathlib import Path
@@ -8,7 +8,7 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot  # noqa: E402  (the backend is chosen before the first figure)
 
-from bench.replay.fleet import Ended  # noqa: E402
+from bench.replay.fleet import ReplayResult  # noqa: E402
 from bench.replay.patterns import PATTERNS  # noqa: E402
 
 SEEDS = range(1, 9)
@@ -17,14 +17,14 @@
 LAST_S = 16
 
 
-def on_time(ended: Ended, target_s: float) -> bool:
-    """Say whether a stream's first event and all pauses were on time."""
+def on_time(ended: ReplayResult, target_s: float) -> bool:
+    """Return whether a stream's first event and all its pauses met their targets."""
     is_early = ended.first_event_s is not None and ended.first_event_s <= target_s
     return ended.outcome == "answered" and is_early and ended.longest_pause_s <= PAUSE_TARGET_S
 
 
-def result(ended: Ended) -> str:
-    """Name what became of one request."""
+def result(ended: ReplayResult) -> str:
+    """Return the label of a request's result."""
     target_s = 0.8 if ended.route == "hint" else 1.0
     if ended.outcome != "answered":
         return ended.outcome
@@ -34,7 +34,7 @@
 
 
 def main() -> None:
-    """Play all patterns."""
+    """Replay all patterns."""
     figure, axes = pyplot.subplots(len(PATTERNS), 1, figsize=(8, 2.2 * len(PATTERNS)), sharex=True)
     for (name, play), axis in zip(PATTERNS.items(), axes, strict=True):
         ended = [each for seed in SEEDS for each in play(seed)]
@@ -53,7 +53,7 @@
     print(f"share on time by second: {PLOT}")
 
 
-def _share_on_time(ended: list[Ended], second: int) -> float:
+def _share_on_time(ended: list[ReplayResult], second: int) -> float:
     arrived = [each for each in ended if second <= each.arrived_s < second + 1]
     return sum(result(each) == "on time" for each in arrived) / max(1, len(arrived))
 
--- a/bench/sending.py
+++ b/bench/sending.py
@@ -1,4 +1,4 @@
-"""Send requests as the callers' page says and note what each caller saw."""
+"""Send requests by the documented rules for callers and record each caller's results."""
 
 import asyncio
 import time
@@ -13,23 +13,32 @@
 from bench.traffic import Arrival, ClassTraffic, DeploymentTraffic, body_of
 from harness.deployments import TRIAL_ACCOUNT, token_of
 from pomelobarrow.standin.load_entries import EntryBook, NoEntryError
-from pomelobarrow.standin.load_results import Outcome, judge_chat, judge_service, parse_object
+from pomelobarrow.standin.load_results import (
+    Outcome,
+    classify_chat_answer,
+    classify_service_answer,
+    parse_object,
+)
 
 CHAT_PATH = "/v1/chat/completions"
 CONNECT_TIMEOUT_S = 1.0
 GRACE_S = 2.0
-# Many callers stand behind each book; with one alone, all would use the same entry VM.
-BOOKS = 4
+# Each book serves many callers; with a single one, all would use the same entry VM.
+BOOKS_PER_ACCOUNT = 4
 MAX_ENTRIES_TRIED = 4
-# Bounds the run: who is told to come back later than this doesn't.
-MAX_COME_BACK_S = 10.0
+# Bounds the run: a caller does not retry if it would have to wait longer.
+MAX_RETRY_WAIT_S = 10.0
 OTHER_ENTRY_KINDS = frozenset({"draining", "not_ready"})
 UNREACHED = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError, NoEntryError)
 
 
 @define(kw_only=True)
 class Answer:
-    """Hold what one try came to; times are seconds since the scenario's start."""
+    """The result of one try.
+
+    `sent_s` and `retry_at_s` count from the scenario's start, `first_token_s` and `end_s` from
+    `sent_s`.
+    """
 
     outcome: Outcome
     kind: str
@@ -43,24 +52,24 @@
 
 @define(kw_only=True)
 class Record:
-    """Hold one request and its tries."""
+    """One request and its tries."""
 
     arrival: Arrival
     tries: list[Answer] = field(factory=list)
 
     @property
     def last(self) -> Answer:
-        """Return the try that counts."""
+        """Return the last try."""
         return self.tries[-1]
 
 
 @define(kw_only=True)
 class Callers:
-    """Hold the callers of one deployment."""
+    """The callers of one deployment."""
 
     traffic: DeploymentTraffic
     session: aiohttp.ClientSession
-    # The directory's VMs by region.
+    # Addresses of the entry VMs by region.
     directory: dict[str, list[str]]
     started_s: float
     rng: Random = field(factory=lambda: Random(1))
@@ -72,7 +81,7 @@
         return time.monotonic() - self.started_s
 
     async def send(self, arrival: Arrival, account: str = "") -> Record:
-        """Send one request; a refused one comes back once, when it was told to."""
+        """Send one request; if refused, retry once at the time that the refusal states."""
         record = Record(arrival=arrival)
         due_s = arrival.at_s + self._due_after_s(arrival)
         record.tries.append(await self._try(arrival, account, due_s))
@@ -80,15 +89,15 @@
         if record.last.outcome is not Outcome.REFUSED or retry_at_s is None:
             return record
         wait_s = retry_at_s - self.now_s()
-        if wait_s <= MAX_COME_BACK_S:
+        if wait_s <= MAX_RETRY_WAIT_S:
             await asyncio.sleep(max(0.0, wait_s))
-            # Who comes back later asks for an answer by a later time.
+            # A retry has a later deadline than the first try.
             due_s = self.now_s() + self._due_after_s(arrival)
             record.tries.append(await self._try(arrival, account, due_s))
         return record
 
     async def send_all(self, arrivals: list[Arrival], account: str = "") -> list[Record]:
-        """Send each request at its time, however late answers are."""
+        """Send each request at its planned time, without waiting for earlier answers."""
         tasks: list[asyncio.Task[Record]] = []
         for arrival in arrivals:
             await asyncio.sleep(max(0.0, arrival.at_s - self.now_s()))
@@ -100,8 +109,10 @@
         answer = Answer(outcome=Outcome.UNREACHED, kind="", sent_s=sent_s)
         for _ in range(MAX_ENTRIES_TRIED):
             answer = await self._exchange(arrival, account, due_s, sent_s)
-            moves_on = answer.outcome is Outcome.UNREACHED or answer.kind in OTHER_ENTRY_KINDS
-            if not moves_on or self.now_s() >= due_s:
+            tries_next_entry = (
+                answer.outcome is Outcome.UNREACHED or answer.kind in OTHER_ENTRY_KINDS
+            )
+            if not tries_next_entry or self.now_s() >= due_s:
                 break
         return answer
 
@@ -152,9 +163,9 @@
             first_token_s = self.now_s() - sent_s
             data = first + await response.read()
         if each.is_chat:
-            outcome, kind = judge_chat(body, response.status, response.content_type, data)
+            outcome, kind = classify_chat_answer(body, response.status, response.content_type, data)
         else:
-            outcome, kind = judge_service(body, response.status, data)
+            outcome, kind = classify_service_answer(body, response.status, data)
         is_answered = outcome is Outcome.ANSWERED
         return Answer(
             outcome=outcome,
@@ -168,9 +179,9 @@
         )
 
     def _retry_at_s(self, response: aiohttp.ClientResponse, data: bytes) -> float | None:
-        told = parse_object(data).get("retry_at_unix_s")
-        if isinstance(told, (int, float)):
-            return self.now_s() + float(told) - time.time()
+        announced = parse_object(data).get("retry_at_unix_s")
+        if isinstance(announced, (int, float)):
+            return self.now_s() + float(announced) - time.time()
         after_s = response.headers.get("Retry-After", "")
         return self.now_s() + float(after_s) if after_s.isdecimal() else None
 
@@ -182,18 +193,18 @@
     def _book(self, arrival: Arrival, account: str) -> EntryBook:
         name = account or f"{arrival.rank}-{arrival.region}"
         self._serial[name] += 1
-        key = (arrival.class_name, name, arrival.region, self._serial[name] % BOOKS)
+        key = (arrival.class_name, name, arrival.region, self._serial[name] % BOOKS_PER_ACCOUNT)
         if key not in self._books:
             self._books[key] = EntryBook(
                 session=self.session,
                 class_name=arrival.class_name,
                 token=token_of(name),
-                known_addresses=self._known(arrival.region),
+                known_addresses=self._entry_addresses(arrival.region),
             )
         return self._books[key]
 
-    def _known(self, region: str) -> tuple[str, ...]:
-        """Return the directory's VMs, those of the caller's own region first."""
+    def _entry_addresses(self, region: str) -> tuple[str, ...]:
+        """Return the addresses of all entry VMs, those of the caller's region first."""
         own = list(self.directory[region])
         others = [vm for name, vms in self.directory.items() if name != region for vm in vms]
         self.rng.shuffle(own)
--- a/src/pomelobarrow/backends/service.py
+++ b/src/pomelobarrow/backends/service.py
@@ -6,7 +6,7 @@
 import aiohttp
 from attrs import define
 
-from pomelobarrow.backends.engine import LOST, says_not_run
+from pomelobarrow.backends.engine import CONNECTION_ERRORS, states_not_run
 from pomelobarrow.backends.sessions import CONNECT_TIMEOUT_S, BackendSessions
 from pomelobarrow.decision.attempt import Attempt, AttemptEvent, AttemptState
 from pomelobarrow.decision.work import BackendServer
@@ -21,7 +21,7 @@
 
 @define(kw_only=True)
 class ServiceAttempt:
-    """Hold what one call of a plain service has achieved so far."""
+    """Run one call of a plain service and track its progress."""
 
     sessions: BackendSessions
     request: GatewayRequest
@@ -34,12 +34,12 @@
     head_passed: bool = False
 
     async def run(self) -> AttemptResult:
-        """Call once; nothing is resent below this level."""
+        """Call the service once; retries are left to the dispatcher."""
         remaining_s = max(0.0, self.request.work.deadline_unix_s - now_unix_s())
         try:
             async with asyncio.timeout(remaining_s):
                 return await self._call()
-        except LOST as error:
+        except CONNECTION_ERRORS as error:
             if self.attempt.state is not AttemptState.FINISHED:
                 self.attempt.apply(AttemptEvent.LOSE)
             return self._result(repr(error))
@@ -56,7 +56,7 @@
             trace_request_ctx=lambda: self.attempt.apply(AttemptEvent.SEND),
         ) as response:
             self.on_headers(response.headers)
-            if response.status == 503 and says_not_run(503, body := await response.read()):
+            if response.status == 503 and states_not_run(503, body := await response.read()):
                 self.attempt.apply(AttemptEvent.REFUSE_UNRUN)
                 return self._result("refused with 503")
             self.attempt.apply(AttemptEvent.FIRST_BYTE)
--- a/src/pomelobarrow/dispatch/crash_guard.py
+++ b/src/pomelobarrow/dispatch/crash_guard.py
@@ -1,4 +1,4 @@
-"""Keep requests that end the servers that run them from reaching any more of these."""
+"""Block requests that crash the servers that run them."""
 
 from collections.abc import Callable, Iterable
 
@@ -18,7 +18,7 @@
 
 @frozen(kw_only=True)
 class RequestBlocked:
-    """Report that a request was refused because servers ended under it, and the evidence."""
+    """Report that a request was refused because it crashes servers, with the evidence."""
 
     request_id: str
     pool: str
@@ -29,32 +29,32 @@
 
 @define(kw_only=True)
 class CrashGuard:
-    """Hold what is known of such requests, how it is found out and who is told."""
+    """Collect crash evidence, share it with peers and decide which requests to refuse."""
 
     suspects: CrashSuspects = field(factory=CrashSuspects)
     watch: ServerWatch = field(factory=ServerWatch)
     live_vms: Callable[[], Iterable[str]] = tuple
-    tell: Callable[[tuple[Finding, ...]], None] = lambda findings: None
+    notify_peers: Callable[[tuple[Finding, ...]], None] = lambda findings: None
     observe: Callable[[object], None] = lambda event: None
 
     def __attrs_post_init__(self) -> None:
         self.watch.on_ended = self._note_ended
 
     def refuses(self, fingerprint: int) -> bool:
-        """Say whether a request is refused now; now and then one is let through on trial."""
+        """Return whether to refuse a request now; at intervals one is admitted as a trial."""
         now = now_unix_s()
         if self.suspects.suspicion(fingerprint, now) is not Suspicion.BLOCKED:
             return False
         return not self.suspects.try_start_trial(fingerprint, self.live_vms(), now)
 
     def refuses_after_wait(self, fingerprint: int) -> bool:
-        """Say whether a request that was let through is refused after all."""
+        """Return whether to refuse a request that was admitted before it waited in a queue."""
         now = now_unix_s()
         is_blocked = self.suspects.suspicion(fingerprint, now) is Suspicion.BLOCKED
         return is_blocked and not self.suspects.is_on_trial(fingerprint, now)
 
     def may_repeat(self, fingerprint: int) -> bool:
-        """Say whether a request that a server has lost may be sent to another one."""
+        """Return whether a request that a server has lost may be sent to another one."""
         return self.suspects.suspicion(fingerprint, now_unix_s()) is Suspicion.NONE
 
     def refusal(self, request_id: str, pool: str, fingerprint: int, run: RunStatus) -> Refusal:
@@ -74,24 +74,24 @@
         return refuse(ErrorKind.CRASHES_SERVERS, run, DETAIL)
 
     def note_answered(self, fingerprint: int) -> None:
-        """Clear a request that a server has answered whole."""
-        self._tell(self.suspects.answered(fingerprint, now_unix_s()))
+        """Clear the suspicion of a request that a server has answered completely."""
+        self._notify(self.suspects.answered(fingerprint, now_unix_s()))
 
     async def note_closed(self, server: BackendServer, fingerprint: int) -> None:
-        """Find out whether a server that closed a connection has ended; return once that is judged.
+        """Check whether a server that closed a connection has crashed; return once that is known.
 
-        Who decides on another attempt then knows of this one.
+        The decision on another attempt then takes this crash into account.
         """
         await self.watch.note_closed(server, fingerprint)
 
     def has_ended(self, server: BackendServer, fingerprint: int) -> bool:
-        """Say whether a server is known to have ended under a request."""
+        """Return whether a server is known to have crashed while it ran a request."""
         return self.suspects.has_crash(fingerprint, server_key(server))
 
     def note_crash(self, fingerprint: int, server_key: int) -> None:
-        """Take in that a server ended under a request a moment ago."""
+        """Record that a server has just crashed while it ran a request."""
         crash = Crash(fingerprint=fingerprint, server_key=server_key, ended_unix_s=now_unix_s())
-        self._tell(self.suspects.note(crash))
+        self._notify(self.suspects.note(crash))
 
     def _note_ended(self, server: BackendServer, fingerprints: tuple[int, ...]) -> None:
         now, key = now_unix_s(), server_key(server)
@@ -99,13 +99,13 @@
         for fingerprint in fingerprints:
             crash = Crash(fingerprint=fingerprint, server_key=key, ended_unix_s=now)
             found += self.suspects.note(crash)
-        self._tell(tuple(found))
+        self._notify(tuple(found))
 
-    def _tell(self, findings: tuple[Finding, ...]) -> None:
+    def _notify(self, findings: tuple[Finding, ...]) -> None:
         if findings:
-            self.tell(findings)
+            self.notify_peers(findings)
 
 
 def server_key(server: BackendServer) -> int:
-    """Return the four bytes that stand for a server's incarnation."""
+    """Return the four-byte key of a server's incarnation."""
     return short_key(server.incarnation)
--- a/src/pomelobarrow/dispatch/local.py
+++ b/src/pomelobarrow/dispatch/local.py
@@ -1,4 +1,4 @@
-"""Place waiting work on this region's backend servers and run it there."""
+"""Queue work, place it on backend servers of this region and run it."""
 
 import asyncio
 import itertools
@@ -30,7 +30,7 @@
 LOOP_STEPS_BEFORE_SENDING = 2
 MIN_DRAIN_PER_S = 1e-6
 
-# Runs one attempt on a placed server.
+# Runs one attempt on the chosen server.
 AttemptRunner = Callable[
     [GatewayRequest, Placement, Attempt, int, AnswerSink, Callable[[], None]],
     Awaitable[AttemptResult],
@@ -39,7 +39,7 @@
 
 @define(kw_only=True)
 class Waiter:
-    """Hold one request waiting for a backend server."""
+    """Represent one request that waits for a backend server."""
 
     excluded: frozenset[str]
     placed: "asyncio.Future[Placement]"
@@ -47,7 +47,7 @@
 
 @define(kw_only=True)
 class LocalDispatch:
-    """Hold the queues of this region's pools and what is known of its servers."""
+    """Queue the work of each pool and run it on the servers of this region."""
 
     table: LoadTable
     run_attempt: AttemptRunner
@@ -75,23 +75,23 @@
         excluded: frozenset[str],
         sink: AnswerSink,
     ) -> AttemptResult:
-        """Wait for a place, run one attempt there and give the place back."""
-        self._check_room(request.work)
-        wanted = self._with_own_place(request.work)
-        placement = await self._wait_for_place(wanted, excluded)
+        """Wait for a slot on a server, run one attempt there and release the slot."""
+        self._refuse_if_unservable(request.work)
+        queued = self._with_unique_id(request.work)
+        placement = await self._wait_for_placement(queued, excluded)
         work, server = request.work, placement.server
         self.table.prefixes.observe_placement(server.name, work.prefix_hashes)
         try:
-            await self._let_cancellations_in()
+            await self._process_pending_cancellations()
             self._refuse_blocked(request)
             result = await self.run_attempt(
-                request, placement, attempt, number, sink, lambda: self._started(wanted)
+                request, placement, attempt, number, sink, lambda: self._started(queued)
             )
         finally:
-            self.table.release(wanted.request_id, now_unix_s())
+            self.table.release(queued.request_id, now_unix_s())
             self.place_waiting(work.pool)
-        self._judge_server(result)
-        await self._note_whether_ended(request, placement, result)
+        self._mark_server(result)
+        await self._record_server_end(request, placement, result)
         if result.is_finished and result.output_tokens:
             self.output_estimate.observe(work.class_name, result.output_tokens)
         self.observe(
@@ -101,35 +101,35 @@
         )
         return result
 
-    def _with_own_place(self, work: Work) -> Work:
-        """Return the work under a name that no other run of the same request has.
+    def _with_unique_id(self, work: Work) -> Work:
+        """Return the work under an id that is unique among the runs of the same request.
 
-        A forward that was lost comes again, maybe before its first run here has ended.
+        A forward that was lost may be sent again before its first run here has ended.
         """
         return evolve(work, request_id=f"{work.request_id}#{next(self._serial)}")
 
-    async def _let_cancellations_in(self) -> None:
-        """Read what the sockets hold before anything is sent.
+    async def _process_pending_cancellations(self) -> None:
+        """Process closed connections before anything is sent.
 
-        A process that was frozen wakes with requests whose callers have long left, and would
-        run them although the entry VM has answered. The first step of the loop reads the closed
-        connections and the second cancels what depended on them.
+        A process that resumes after a freeze holds requests whose callers have long left, and would
+        run them although the entry VM has answered. The first step of the event loop reads the
+        closed connections, the second cancels the tasks that depend on them.
         """
         for _ in range(LOOP_STEPS_BEFORE_SENDING):
             await asyncio.sleep(0)
 
-    async def _note_whether_ended(
+    async def _record_server_end(
         self, request: GatewayRequest, placement: Placement, result: AttemptResult
     ) -> None:
-        """Learn whether a server ended under a request, or answered it."""
+        """Record whether a server crashed while it ran a request or answered it."""
         if result.is_finished:
             self.guard.note_answered(request.fingerprint)
-        # Past the deadline nothing is sent again, and the caller waits for no finding.
+        # After the deadline there is no retry, so the caller must not wait for the crash check.
         elif result.state is AttemptState.UNKNOWN and now_unix_s() < request.work.deadline_unix_s:
             await self.guard.note_closed(placement.server, request.fingerprint)
 
     def _refuse_blocked(self, request: GatewayRequest) -> None:
-        """Refuse a request that was found to end servers while it waited for a place."""
+        """Refuse a request that was found to crash servers while it waited in the queue."""
         work = request.work
         if self.guard.refuses_after_wait(request.fingerprint):
             raise RefusedError(
@@ -137,7 +137,7 @@
             )
 
     def expected_wait_s(self, work: Work) -> float:
-        """Return the seconds that new work would wait for a place here."""
+        """Return the expected wait of new work for a slot in this region."""
         now = now_unix_s()
         queue = self.queue(work.pool)
         ahead = queue.ahead(work, now)
@@ -145,12 +145,12 @@
         if next_unix_s is not None and not ahead:
             return min(MAX_RETRY_AFTER_S, next_unix_s - now)
         if not ahead:
-            # Mostly nothing waits, and adding up the servers costs more than all the rest here.
+            # The usual case; summing over the servers costs more than the rest of this function.
             return 0.0
         drain_per_s = max(self.table.drain_per_s(work.pool, now), MIN_DRAIN_PER_S)
         return ahead * max(1.0 / drain_per_s, queue.wait_per_request_ahead_s(work.rank, now))
 
-    def _check_room(self, work: Work) -> None:
+    def _refuse_if_unservable(self, work: Work) -> None:
         refusal = refuse_unservable(
             work,
             queue=self.queue(work.pool),
@@ -163,32 +163,33 @@
             raise RefusedError(refusal)
 
     def place_waiting(self, pool: str) -> None:
-        """Place as much waiting work as has room now."""
+        """Place waiting work while servers have free slots."""
         queue = self.queue(pool)
         now = now_unix_s()
         while self._waiters and self._place_next(queue, now):
             pass
 
-    async def until_work_waits(self) -> None:
-        """Return once a request waits for a place."""
+    async def wait_for_work(self) -> None:
+        """Return once a request is waiting for a server."""
         if not self._waiters:
             self._has_waiting.clear()
         await self._has_waiting.wait()
 
     def sweep(self) -> None:
-        """Refuse at once what can no longer finish, then place what has room."""
+        """Refuse work that can no longer finish in time, then place waiting work."""
         now = now_unix_s()
         for pool, queue in self.queues.items():
-            for work in queue.expired(now, self._least_service_s):
+            for work in queue.expired(now, self._min_service_s):
                 self._refuse_expired(work)
             if self._waiters:
                 self.place_waiting(pool)
 
-    def _least_service_s(self, work: Work) -> float:
-        """Return the seconds that work needs once it is placed, or it is refused as too late.
+    def _min_service_s(self, work: Work) -> float:
+        """Return the seconds before the deadline by which work must be placed.
 
-        Started late, trial work was cut off at its deadline: its caller had half an answer and the
-        engine had worked for nothing. Paying work may always try, as its time is only a mean.
+        Trial work that starts too late is cut off at its deadline, which leaves its caller with an
+        incomplete answer and wastes the engine's work. Paying work may always start, because the
+        expected service time is only a mean.
         """
         return self.table.service_times(work.pool).hold_s if work.rank is Rank.TRIAL else 0.0
 
@@ -198,7 +199,7 @@
             return False
         work, placement = placed.work, placed.placement
         waiter = self._waiters.pop(work.request_id)
-        # Cancelled a moment ago, it gets to leave the queue only in the loop's next step.
+        # A cancelled request is removed from the queue only in the next step of the event loop.
         if waiter.placed.done():
             return True
         tokens = prefill_tokens(work, placement.cached_tokens)
@@ -208,9 +209,9 @@
         return True
 
     def _excluded(self, work: Work) -> frozenset[str]:
-        """Return the servers to leave out; none where no other is left, or it would wait for ever.
+        """Return the servers to exclude; none if no other is usable, or the work would never run.
 
-        The attempts are counted and paused by whoever makes them.
+        The caller of `run` limits the number of attempts and pauses between them.
         """
         excluded = self._waiters[work.request_id].excluded
         if not excluded:
@@ -219,7 +220,7 @@
         is_other_left = any(server.name not in excluded for server in usable)
         return excluded if is_other_left else frozenset()
 
-    async def _wait_for_place(self, work: Work, excluded: frozenset[str]) -> Placement:
+    async def _wait_for_placement(self, work: Work, excluded: frozenset[str]) -> Placement:
         placed: asyncio.Future[Placement] = asyncio.get_running_loop().create_future()
         waiter = Waiter(excluded=excluded, placed=placed)
         self._waiters[work.request_id] = waiter
@@ -229,11 +230,11 @@
         try:
             return await placed
         except asyncio.CancelledError:
-            self._abandon(work, placed)
+            self._withdraw(work, placed)
             raise
 
-    def _abandon(self, work: Work, placed: "asyncio.Future[Placement]") -> None:
-        """Leave the queue; a place given in the same loop step goes to the next."""
+    def _withdraw(self, work: Work, placed: "asyncio.Future[Placement]") -> None:
+        """Leave the queue; a slot assigned in the same loop step goes to the next request."""
         self._waiters.pop(work.request_id, None)
         self.queue(work.pool).remove(work.request_id)
         if placed.done() and not placed.cancelled():
@@ -253,19 +254,19 @@
     def _started(self, work: Work) -> None:
         self.table.started(work.request_id, now_unix_s())
 
-    def _judge_server(self, result: AttemptResult) -> None:
-        verdict = {
+    def _mark_server(self, result: AttemptResult) -> None:
+        mark = {
             AttemptState.FINISHED: self.table.mark_ok,
             AttemptState.NOT_SENT: self.table.mark_failed,
             AttemptState.UNKNOWN: self.table.mark_failed,
             AttemptState.REFUSED_UNRUN: self.table.mark_failed,
         }.get(result.state)
-        if verdict is not None:
-            verdict(result.server, now_unix_s())
+        if mark is not None:
+            mark(result.server, now_unix_s())
 
 
 class QueueSweeper(Service):
-    """Sweep the queues while work waits."""
+    """Run the sweep periodically while work is waiting."""
 
     def __init__(self, local: LocalDispatch) -> None:
         super().__init__()
@@ -274,7 +275,7 @@
     @Service.task
     async def _sweep(self) -> None:
         while not self.should_stop:
-            # Twenty wake-ups a second with nothing to do cost a sixth of an idle VM's budget.
-            await self._local.until_work_waits()
+            # Waiting here avoids twenty idle wake-ups a second, a sixth of an idle VM's CPU budget.
+            await self._local.wait_for_work()
             self._local.sweep()
             await asyncio.sleep(SWEEP_EVERY_S)
--- a/src/pomelobarrow/dispatch/refusals.py
+++ b/src/pomelobarrow/dispatch/refusals.py
@@ -1,12 +1,12 @@
-"""Build typed refusals; each names what to do next."""
+"""Build typed refusals, each with a remedy."""
 
 from pomelobarrow.decision.errors import ErrorKind, Refusal, RunStatus
 from pomelobarrow.kernel.clock import now_unix_s
 
-REMEDY_LATER = "come back at the time in Retry-After"
+REMEDY_LATER = "retry at the time in Retry-After"
 REMEDY_OTHER_ENTRY = "ask GET /v1/entries for another entry VM"
-REMEDY_UNKNOWN = "check at the receiver whether it ran before sending it again"
-REMEDY_DEADLINE = "send it again with a later Pomelobarrow-Deadline if it is still wanted"
+REMEDY_UNKNOWN = "check at the receiver whether the request ran before sending it again"
+REMEDY_DEADLINE = "send it again with a later Pomelobarrow-Deadline if it is still needed"
 REMEDY_BY_KIND = {
     ErrorKind.OVERLOADED: REMEDY_LATER,
     ErrorKind.NO_CAPACITY: REMEDY_LATER,
@@ -16,15 +16,15 @@
     ErrorKind.DRAINING: REMEDY_OTHER_ENTRY,
     ErrorKind.NOT_READY: REMEDY_OTHER_ENTRY,
     ErrorKind.OUTCOME_UNKNOWN: REMEDY_UNKNOWN,
-    ErrorKind.ANSWER_NOT_KEPT: "it ran to its end; don't send it again",
+    ErrorKind.ANSWER_NOT_KEPT: "the request ran to its end; don't send it again",
     ErrorKind.ID_REFUSED: "take a request id from GET /v1/entries and send that as Idempotency-Key",
-    ErrorKind.CRASHES_SERVERS: "don't send it again as it is: it ends the servers that run it",
+    ErrorKind.CRASHES_SERVERS: "don't send it again unchanged: it crashes the servers that run it",
     ErrorKind.STILL_RUNNING: "repeat it under the same Idempotency-Key at the time in Retry-After",
 }
 
-# What passes by itself gets a time to come back even where no wait could be estimated: a caller
-# without one asks again at once, and again.
-PAUSE_S_BY_KIND = {
+# Temporary conditions get a retry time even if no wait could be estimated, because a caller without
+# one retries immediately and repeatedly.
+RETRY_AFTER_S_BY_KIND = {
     ErrorKind.OVERLOADED: 1.0,
     ErrorKind.NO_CAPACITY: 1.0,
     ErrorKind.HOME_UNREACHABLE: 1.0,
@@ -41,9 +41,9 @@
     retry_at_unix_s: float | None = None,
     remedy: str = "",
 ) -> Refusal:
-    """Return a refusal with the remedy and the time to come back that belong to its kind."""
-    if retry_at_unix_s is None and kind in PAUSE_S_BY_KIND:
-        retry_at_unix_s = now_unix_s() + PAUSE_S_BY_KIND[kind]
+    """Return a refusal with the remedy and the retry time of its kind."""
+    if retry_at_unix_s is None and kind in RETRY_AFTER_S_BY_KIND:
+        retry_at_unix_s = now_unix_s() + RETRY_AFTER_S_BY_KIND[kind]
     return Refusal(
         kind=kind,
         run=run,
@@ -54,7 +54,7 @@
 
 
 class RefusedError(Exception):
-    """Carry a refusal up to whoever answers."""
+    """Carry a refusal to the code that answers the request."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.detail)
--- a/src/pomelobarrow/operators/plugin.py
+++ b/src/pomelobarrow/operators/plugin.py
@@ -1,4 +1,4 @@
-"""The operators' plug-in: metrics, traces and one log line a request."""
+"""The operators' plug-in: metrics, traces and log lines for events."""
 
 from collections.abc import Callable
 from typing import Any
@@ -37,13 +37,13 @@
 
 
 class Observer:
-    """Count events and log the ones an operator wants to read."""
+    """Observer that updates the metrics and writes the log lines for events."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
-        # Bound once: the lazy logger binds anew at each event.
+        # Bound once, because the lazy logger would create a bound logger for each event.
         self._log = log.bind()
-        self._on: dict[type, Callable[[Any], None]] = {
+        self._handlers: dict[type, Callable[[Any], None]] = {
             RequestEnded: self._request_ended,
             AttemptEnded: self._attempt_ended,
             Forwarded: self._forwarded,
@@ -51,24 +51,24 @@
             KeyspaceRefused: self._keyspace_refused,
             PlatformUnreachable: self._platform_unreachable,
             PlatformReachable: self._platform_reachable,
-            ProcessPauseDetected: self._pause_noticed,
+            ProcessPauseDetected: self._process_pause_detected,
             RelayPlaced: self._relay_placed,
-            RelayNotPlaced: self._relay_placed_nowhere,
+            RelayNotPlaced: self._relay_not_placed,
             RelayAttemptEnded: self._relay_attempt_ended,
             RelayEnded: self._relay_ended,
             ServerEjected: self._server_ejected,
             ServerLimitNamed: self._server_limit_named,
             ServerEnded: self._server_ended,
             RequestBlocked: self._request_blocked,
-            ServerReadmitted: self._server_back,
+            ServerReadmitted: self._server_readmitted,
             PeerRefused: self._peer_refused,
-            MemberLivenessChanged: self._member_judged,
+            MemberLivenessChanged: self._member_liveness_changed,
             DirectoryChanged: self._directory_changed,
         }
 
     def observe(self, event: object) -> None:
-        """Take one event; unknown ones are someone else's."""
-        handler = self._on.get(type(event))
+        """Handle an event; types without a handler are ignored."""
+        handler = self._handlers.get(type(event))
         if handler is not None:
             handler(event)
 
@@ -131,7 +131,7 @@
         self._log.warning(
             "platform unreachable",
             reason=event.reason,
-            remedy="check platform.addresses; peers keep this VM current meanwhile",
+            remedy="check platform.addresses; until then this VM receives updates from peers",
         )
 
     def _platform_reachable(self, event: PlatformReachable) -> None:
@@ -140,7 +140,7 @@
     def _relay_placed(self, event: RelayPlaced) -> None:
         self._log.info("relay placed", **asdict(event))
 
-    def _relay_placed_nowhere(self, event: RelayNotPlaced) -> None:
+    def _relay_not_placed(self, event: RelayNotPlaced) -> None:
         self._log.warning("relay placed nowhere", **asdict(event))
 
     def _relay_attempt_ended(self, event: RelayAttemptEnded) -> None:
@@ -169,13 +169,13 @@
     def _server_limit_named(self, event: ServerLimitNamed) -> None:
         self._log.info("server limit named", **asdict(event))
 
-    def _server_back(self, event: ServerReadmitted) -> None:
+    def _server_readmitted(self, event: ServerReadmitted) -> None:
         self._log.info("server back", **asdict(event))
 
-    def _pause_noticed(self, event: ProcessPauseDetected) -> None:
+    def _process_pause_detected(self, event: ProcessPauseDetected) -> None:
         self._log.warning("this process stood still", gap_s=round(event.gap_s, 3))
 
-    def _member_judged(self, event: MemberLivenessChanged) -> None:
+    def _member_liveness_changed(self, event: MemberLivenessChanged) -> None:
         change = "heard" if event.is_live else "silent"
         self._metrics.member_changes.inc(change, "peer" if event.told_by else "itself")
         self._log.info(f"member {change}", **asdict(event))
@@ -191,7 +191,7 @@
 
 @hookimpl
 def provide_parts(context: Context) -> None:
-    """Register metrics and traces."""
+    """Register the metrics, the traces and the observer."""
     settings = context.settings
     context.provide(Metrics, lambda _: Metrics())
     context.provide(
@@ -202,7 +202,7 @@
 
 
 class _ObserverPlugin:
-    """Give the hook a place that knows this daemon's metrics."""
+    """Hook implementation that passes events to this daemon's observer."""
 
     def __init__(self, observer: Observer) -> None:
         self._observer = observer
@@ -215,7 +215,7 @@
 
 @hookimpl
 def routes(context: Context) -> list[web.RouteDef]:
-    """Serve the metrics."""
+    """Return the route of the metrics."""
     metrics = context.get(Metrics)
 
     async def render(request: web.Request) -> web.Response:
--- a/src/pomelobarrow/relay/attempt.py
+++ b/src/pomelobarrow/relay/attempt.py
@@ -1,4 +1,4 @@
-"""Send a request once, to a backend server or a peer, and bring its answer back."""
+"""Send a request once, to a backend server or a peer, and return its answer."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,7 +7,7 @@
 from attrs import define, field, frozen
 from yarl import URL
 
-from pomelobarrow.backends.engine import LOST
+from pomelobarrow.backends.engine import CONNECTION_ERRORS
 from pomelobarrow.backends.sessions import BackendSessions
 from pomelobarrow.decision.attempt import UNRUN_STATES, Attempt, AttemptEvent, AttemptState
 from pomelobarrow.kernel.clock import now_unix_s
@@ -22,14 +22,14 @@
     WholeAnswer,
 )
 
-# aiohttp would add these; the server is to see what the client sent.
+# aiohttp adds these by default; the server must get the client's headers unchanged.
 SKIPPED_AUTO_HEADERS = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
 STATUS_OK = 200
 
 
 @frozen(kw_only=True)
 class Target:
-    """Say where a request is sent, with which headers and how the answer's head reads."""
+    """Describe where to send a request, with which headers, and how to parse the answer's head."""
 
     name: str
     address: str
@@ -39,21 +39,21 @@
 
 
 @frozen(kw_only=True)
-class Patience:
-    """Say how long to wait for a server's first answer, and whether another may be tried then.
+class FirstAnswerTimeout:
+    """Limit the wait for a server's first answer where another server may be tried.
 
-    Asked only when the time has passed: many requests wait for one server at a time, and what was
-    free for each of them when it was sent is enough for a few. The others, given up with no second
-    attempt left to them, would fail where waiting may still bring an answer.
+    `may_give_up` is called only when the limit has passed. Many requests may wait for one server at
+    a time, and the retry budget that each found free when it was sent covers only a few of them. A
+    request given up without a retry left fails, although waiting may still bring an answer.
     """
 
-    lasts_s: float
+    limit_s: float
     may_give_up: Callable[[], bool]
 
 
 @define(kw_only=True)
 class RelayAttempt:
-    """Hold what one sending of a request has brought so far."""
+    """Send a request to one target and track the state of the answer."""
 
     sessions: BackendSessions
     request: RelayRequest
@@ -63,56 +63,56 @@
     on_first_answer: Callable[[ServerAnswerHead], None]
     on_pause: Callable[[float], None] = lambda pause_s: None
     on_head: Callable[[ServerAnswerHead], None] = lambda head: None
-    patience: Patience | None = None
+    first_answer_timeout: FirstAnswerTimeout | None = None
     state: Attempt = field(factory=Attempt)
     first_answer_unix_s: float | None = None
-    # The longest time between two events, for logs.
+    # The longest time between two events; for logs.
     longest_pause_s: float = 0.0
     _last_events_unix_s: float | None = field(default=None, init=False)
-    _giving_up: asyncio.Timeout | None = field(default=None, init=False)
-    _alarm: asyncio.TimerHandle | None = field(default=None, init=False)
+    _timeout_scope: asyncio.Timeout | None = field(default=None, init=False)
+    _timer: asyncio.TimerHandle | None = field(default=None, init=False)
 
     @property
     def is_surely_unrun(self) -> bool:
-        """Say whether the request can't have run in this attempt."""
+        """Return whether the request certainly did not run in this attempt."""
         return self.state.state in UNRUN_STATES
 
     async def run(self) -> AttemptReport:
-        """Send once; nothing is sent again below this level."""
+        """Send the request once; no lower layer retries it."""
         self.splitter.restart()
         try:
-            async with asyncio.timeout(None) as self._giving_up:
-                self._set_alarm()
+            async with asyncio.timeout(None) as self._timeout_scope:
+                self._start_timer()
                 return await self._exchange()
-        except LOST as error:
+        except CONNECTION_ERRORS as error:
             return self._lost(repr(error), is_closed=not isinstance(error, TimeoutError))
         finally:
-            self._stop_alarm()
+            self._cancel_timer()
 
-    def _set_alarm(self) -> None:
-        if self.patience is not None:
+    def _start_timer(self) -> None:
+        if self.first_answer_timeout is not None:
             loop = asyncio.get_running_loop()
-            self._alarm = loop.call_later(self.patience.lasts_s, self._lose_patience)
-
-    def _stop_alarm(self) -> None:
-        if self._alarm is not None:
-            self._alarm.cancel()
-            self._alarm = None
-
-    def _lose_patience(self) -> None:
-        """Give up on a silent server where another may be tried now, else wait on."""
-        assert self.patience is not None
-        assert self._giving_up is not None
-        if self.patience.may_give_up():
-            self._giving_up.reschedule(asyncio.get_running_loop().time())
+            self._timer = loop.call_later(self.first_answer_timeout.limit_s, self._on_time_limit)
+
+    def _cancel_timer(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+
+    def _on_time_limit(self) -> None:
+        """Give up on a silent server if another may be tried now; otherwise keep waiting."""
+        assert self.first_answer_timeout is not None
+        assert self._timeout_scope is not None
+        if self.first_answer_timeout.may_give_up():
+            self._timeout_scope.reschedule(asyncio.get_running_loop().time())
         else:
-            self._set_alarm()
+            self._start_timer()
 
     async def _exchange(self) -> AttemptReport:
         request = self.request
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=self.target.connect_timeout_s)
-        # A kept connection may have been forgotten by the other end, or still hold a late answer
-        # to an earlier request. A new one costs a round trip and has neither fault.
+        # A pooled connection may have been dropped by the other end, or may still carry a late
+        # answer to an earlier request. A new one costs one round trip and avoids both.
         async with self.sessions.fresh.request(
             request.method,
             URL(self.sessions.url(self.target.address, request.target), encoded=True),
@@ -131,21 +131,21 @@
             if fault := self._fault(head):
                 return self._lost(fault)
             if request.route.is_stream and head.status == STATUS_OK:
-                return await self._pass_events(response, head)
-            return await self._read_whole(response, head)
+                return await self._forward_events(response, head)
+            return await self._read_complete(response, head)
 
     def _fault(self, head: ServerAnswerHead) -> str:
-        """Return why an answer can't be the one to this request, or nothing."""
+        """Return why an answer can't belong to this request; empty if it can."""
         if head.lost_detail:
             return head.lost_detail
-        # A faulty server may send another request's answer, or bytes that only look like one.
+        # A faulty server may send the answer to another request, or bytes that only resemble one.
         if head.request_id != self.request.head.request_id:
-            return "the answer belongs to another request"
+            return "the answer carries the id of another request"
         if head.is_success and not head.is_sealed:
-            return "the answer is not the server's own"
+            return "the successful answer carries no seal of the backend server"
         return ""
 
-    async def _read_whole(
+    async def _read_complete(
         self, response: aiohttp.ClientResponse, head: ServerAnswerHead
     ) -> AttemptReport:
         body = await response.read()
@@ -153,7 +153,7 @@
         self.state.apply(AttemptEvent.END)
         return self._report(AttemptEnd.ANSWERED, answer=WholeAnswer(head=head, body=body))
 
-    async def _pass_events(
+    async def _forward_events(
         self, response: aiohttp.ClientResponse, head: ServerAnswerHead
     ) -> AttemptReport:
         async for data in response.content.iter_any():
@@ -162,14 +162,14 @@
                 continue
             self._note_first_answer(head)
             self._note_pause()
-            # A resumed stream keeps the head that the client already has.
+            # The client already has the head of a resumed stream.
             if not self.sink.is_started:
                 await self.sink.open(head.status, head.headers)
             await self.sink.send(events)
         if not self.splitter.is_between_events:
             return self._lost("the stream ended in the middle of an event")
         if not self.sink.is_started:
-            return self._lost("the stream held no event")
+            return self._lost("the stream ended before its first event")
         await self.sink.finish()
         self.state.apply(AttemptEvent.END)
         return self._report(AttemptEnd.PASSED_ON)
@@ -177,7 +177,7 @@
     def _note_first_answer(self, head: ServerAnswerHead) -> None:
         if self.first_answer_unix_s is None:
             self.first_answer_unix_s = now_unix_s()
-            self._stop_alarm()
+            self._cancel_timer()
             self.state.apply(AttemptEvent.FIRST_BYTE)
             self.on_first_answer(head)
 
@@ -215,4 +215,4 @@
 def _unrun_end(head: ServerAnswerHead) -> AttemptEnd:
     if head.is_blocked:
         return AttemptEnd.BLOCKED
-    return AttemptEnd.TURNED_BACK if head.is_unsent else AttemptEnd.REFUSED
+    return AttemptEnd.REFUSED_UNSENT if head.is_unsent else AttemptEnd.REFUSED
--- a/src/pomelobarrow/relay/relay.py
+++ b/src/pomelobarrow/relay/relay.py
@@ -1,4 +1,4 @@
-"""Bring one relayed request to an end: place it, send it, try again or refuse."""
+"""Relay a request: place it, send it, retry or refuse."""
 
 import asyncio
 from collections.abc import Callable
@@ -24,23 +24,18 @@
 from pomelobarrow.dispatch.refusals import refuse
 from pomelobarrow.kernel.clock import now_unix_s
 from pomelobarrow.relay.answer import ClientAnswer
-from pomelobarrow.relay.attempt import Patience, RelayAttempt, Target
+from pomelobarrow.relay.attempt import FirstAnswerTimeout, RelayAttempt, Target
 from pomelobarrow.relay.event_splitter import EventSplitter
-from pomelobarrow.relay.health_monitor import FirstAnswers, ServerHealthMonitor
+from pomelobarrow.relay.health_monitor import FirstAnswerTimes, ServerHealthMonitor
 from pomelobarrow.relay.hop import peer_target, refusal_headers
-from pomelobarrow.relay.messages import (
-    AttemptEnd,
-    AttemptReport,
-    RelayRequest,
-    ServerAnswerHead,
-)
-from pomelobarrow.relay.next_step import REACHED_NO_SERVER, Step, Tries, last_step, wants_retry
+from pomelobarrow.relay.messages import AttemptEnd, AttemptReport, RelayRequest, ServerAnswerHead
+from pomelobarrow.relay.next_step import UNSENT_ENDS, AttemptHistory, Step, last_step, should_retry
 from pomelobarrow.relay.progress import RequestProgress
 from pomelobarrow.relay.relay_log import RelayLog
 from pomelobarrow.relay.wire import RelayWire, ServerCallOptions
 
-# A connection inside a region takes a millisecond or two; a server that doesn't answer in this
-# time, a retransmission included, is taken to be gone.
+# Connecting inside a region takes one or two milliseconds. The limit allows for one retransmission;
+# after it, a server counts as unreachable.
 SERVER_CONNECT_TIMEOUT_S = 0.35
 RETRY_JITTER = 0.5
 LIMIT_CHECK_S = 0.01
@@ -49,7 +44,7 @@
 
 @define(kw_only=True)
 class Relay:
-    """Hold what all relayed requests of this VM share."""
+    """Relay the requests of this VM to backend servers and peers."""
 
     own_vm: str
     own_region: str
@@ -64,8 +59,8 @@
     guard: CrashGuard = field(factory=CrashGuard)
     log: RelayLog = field(init=False)
     in_progress: int = 0
-    retry_line: RetrySchedule = field(factory=RetrySchedule)
-    first_answers: FirstAnswers = field(factory=FirstAnswers)
+    retry_schedule: RetrySchedule = field(factory=RetrySchedule)
+    first_answer_times: FirstAnswerTimes = field(factory=FirstAnswerTimes)
 
     def __attrs_post_init__(self) -> None:
         self.log = RelayLog(
@@ -76,12 +71,12 @@
         )
 
     async def answer(self, request: RelayRequest, routing: Routing, sink: ClientAnswer) -> None:
-        """Answer a request, whole or with an honest refusal."""
+        """Answer a request completely, or refuse it and state whether it ran."""
         progress = RequestProgress(
             request=request,
             sink=sink,
             routing=routing,
-            tries=Tries(request=request),
+            history=AttemptHistory(request=request),
             splitter=EventSplitter(
                 event_id=self.wire.event_id, last_event_id=request.head.last_event_id
             ),
@@ -100,68 +95,70 @@
         left_s = progress.request.work.deadline_unix_s - now_unix_s()
         try:
             async with asyncio.timeout(max(0.0, left_s)):
-                step = await self._try_all(progress)
+                step = await self._run_attempts(progress)
         except TimeoutError:
-            progress.tries.last_detail = "the time was up"
-            step = last_step(progress.tries, progress.sink.is_started)
+            progress.history.last_detail = "the deadline passed before the answer was complete"
+            step = last_step(progress.history, progress.sink.is_started)
         return await self._conclude(progress, step)
 
-    async def _try_all(self, progress: RequestProgress) -> Step:
+    async def _run_attempts(self, progress: RequestProgress) -> Step:
         while True:
             if self.guard.refuses(progress.request.fingerprint):
-                progress.tries.is_blocked = True
-                return last_step(progress.tries, progress.sink.is_started)
+                progress.history.is_blocked = True
+                return last_step(progress.history, progress.sink.is_started)
             decision = self.placer.place(
                 progress.request.for_placement, progress.routing, progress.excluded, now_unix_s()
             )
             if isinstance(decision, NoPlacement) and await self._wait_for_limit(progress, decision):
                 continue
             if isinstance(decision, NoPlacement):
-                progress.tries.last_detail = progress.tries.last_detail or decision.reason
-                progress.nowhere_wait_s = decision.wait_s
-                self.log.nowhere(progress, decision)
-                return last_step(progress.tries, progress.sink.is_started)
+                progress.history.last_detail = progress.history.last_detail or decision.reason
+                progress.unplaced_wait_s = decision.wait_s
+                self.log.not_placed(progress, decision)
+                return last_step(progress.history, progress.sink.is_started)
             report = await self._send(progress, decision)
-            progress.tries.note(report)
+            progress.history.note(report)
             progress.longest_pause_s = max(progress.longest_pause_s, report.longest_pause_s)
             if report.end is AttemptEnd.PASSED_ON:
                 return Step.DONE
-            if wants_retry(progress.tries, report) and self._may_repeat(progress, report):
+            if should_retry(progress.history, report) and self._may_retry(progress, report):
                 continue
-            # In the middle of a stream an answer of its own would be read as a part of its body.
+            # Once a stream has begun, a separate answer would be read as a part of its body.
             if report.end is AttemptEnd.ANSWERED and not progress.sink.is_started:
                 assert report.answer is not None
                 await progress.sink.pass_on(report.answer)
                 return Step.DONE
-            return last_step(progress.tries, progress.sink.is_started)
+            return last_step(progress.history, progress.sink.is_started)
 
     async def _wait_for_limit(self, progress: RequestProgress, decision: NoPlacement) -> bool:
-        """Wait until a server's own limit lets a request through, where that may be in time."""
+        """Wait for a server's advertised rate limit if the wait may end before the target time."""
         next_unix_s, now = decision.next_unix_s, now_unix_s()
         if next_unix_s is None or progress.request.forwarded_by:
             return False
         if next_unix_s >= progress.request.work.first_token_due_unix_s:
             return False
-        # Of those that wait for the same moment the first one goes; the others look again.
+        # One of the requests that wait for the same moment is placed; the others check again.
         await asyncio.sleep(max(LIMIT_CHECK_S, next_unix_s - now))
         return True
 
-    def _may_repeat(self, progress: RequestProgress, report: AttemptReport) -> bool:
-        if report.end in REACHED_NO_SERVER:
+    def _may_retry(self, progress: RequestProgress, report: AttemptReport) -> bool:
+        if report.end in UNSENT_ENDS:
             return True
-        if progress.tries.may_have_run and not self.guard.may_repeat(progress.request.fingerprint):
+        if progress.history.may_have_run and not self.guard.may_repeat(
+            progress.request.fingerprint
+        ):
             return False
-        had_repeat, progress.has_repeat = progress.has_repeat, False
-        return had_repeat or self._take_repeat(progress)
+        was_reserved, progress.is_retry_reserved = progress.is_retry_reserved, False
+        return was_reserved or self._take_retry(progress)
 
-    def _take_repeat(self, progress: RequestProgress) -> bool:
+    def _take_retry(self, progress: RequestProgress) -> bool:
         live_vms = len(self.placer.members.live)
         return self.retries.try_take_retry(progress.request.work.pool, live_vms, now_unix_s())
 
     async def _send(
         self, progress: RequestProgress, decision: LocalPlacement | PeerPlacement
     ) -> AttemptReport:
-        progress.tries.attempts += 1
+        progress.history.attempts += 1
         self.log.placed(progress, decision)
         if isinstance(decision, LocalPlacement):
             return await self._send_to_server(progress, decision.placement)
@@ -174,12 +171,12 @@
         work, now = request.work, now_unix_s()
         tokens = prefill_tokens(work, placement.cached_tokens)
         kv_tokens = tokens + work.expected_output_tokens
-        if not progress.tries.was_sent:
+        if not progress.history.was_sent:
             self.retries.record_first_arrival(work.pool, now)
         self.placer.record_placement(server, now)
         table.prefixes.observe_placement(server.name, work.prefix_hashes)
         table.charge(work.request_id, server.name, tokens, now, kv_tokens)
-        order = ServerCallOptions(
+        options = ServerCallOptions(
             server=server.name,
             deadline_unix_s=work.deadline_unix_s,
             resume_after=self._resume_after(progress),
@@ -187,7 +184,7 @@
         target = Target(
             name=server.name,
             address=server.address,
-            headers=lambda: self.wire.server_headers(request, order),
+            headers=lambda: self.wire.server_headers(request, options),
             read_answer=self.wire.read_answer,
             connect_timeout_s=SERVER_CONNECT_TIMEOUT_S,
         )
@@ -195,32 +192,30 @@
             report = await self._run(
                 progress,
                 target,
-                patience=self._patience(progress, placement),
-                on_pause=self._pause_watch(progress, server.name),
-                on_head=lambda head: self._note_said(server, head),
+                first_answer_timeout=self._first_answer_timeout(progress, placement),
+                on_pause=self._pause_observer(progress, server.name),
+                on_head=lambda head: self._record_server_state(server, head),
             )
         finally:
             table.release(work.request_id, now_unix_s())
         self.monitor.monitor(server, report, placement.expected_wait_s, now)
-        await self._note_whether_ended(progress, server, report)
+        await self._record_server_end(progress, server, report)
         if report.end is not AttemptEnd.PASSED_ON:
             progress.excluded.servers.add(server.name)
         return report
 
-    async def _note_whether_ended(
+    async def _record_server_end(
         self, progress: RequestProgress, server: BackendServer, report: AttemptReport
     ) -> None:
-        """Learn whether a server ended under a request, or answered it."""
         request = progress.request
         if report.is_closed:
             await self.guard.note_closed(server, request.fingerprint)
             if self.guard.has_ended(server, request.fingerprint):
-                progress.tries.ended_server_key = server_key(server)
+                progress.history.ended_server_key = server_key(server)
         elif report.end in (AttemptEnd.PASSED_ON, AttemptEnd.ANSWERED):
             self.guard.note_answered(request.fingerprint)
 
-    def _note_told(self, request: RelayRequest, head: ServerAnswerHead) -> None:
-        """Take in that a peer's server ended under a request."""
+    def _record_peer_crash(self, request: RelayRequest, head: ServerAnswerHead) -> None:
         if head.ended_server_key is not None:
             self.guard.note_crash(request.fingerprint, head.ended_server_key)
 
@@ -236,7 +231,7 @@
             self.wire,
         )
         report = await self._run(
-            progress, target, on_head=lambda head: self._note_told(progress.request, head)
+            progress, target, on_head=lambda head: self._record_peer_crash(progress.request, head)
         )
         if report.end is AttemptEnd.NOT_SENT:
             self.placer.members.note_connect_failure(decision.member.vm, now_unix_s())
@@ -244,55 +239,56 @@
             self.placer.members.connect_backoff.note_connected(decision.member.vm)
         if report.end is not AttemptEnd.PASSED_ON:
             progress.excluded.peers.add(decision.member.vm)
-        if report.end in (AttemptEnd.REFUSED, AttemptEnd.TURNED_BACK):
-            self._exclude_place(progress, decision)
+        if report.end in (AttemptEnd.REFUSED, AttemptEnd.REFUSED_UNSENT):
+            self._exclude_refusing_target(progress, decision)
         return report
 
     @staticmethod
-    def _exclude_place(progress: RequestProgress, decision: PeerPlacement) -> None:
-        """Leave out the server of a coordinator that refused, else the peer's region."""
+    def _exclude_refusing_target(progress: RequestProgress, decision: PeerPlacement) -> None:
+        """Exclude the server whose coordinator refused, or else the region of the peer."""
         if decision.server:
             progress.excluded.servers.add(decision.server)
         else:
             progress.excluded.regions.add(decision.member.region)
 
     def _resume_after(self, progress: RequestProgress) -> str:
-        """Return the last event that the client has of this answer."""
+        """Return the id of the last event sent to the client; empty if none was sent."""
         return progress.splitter.last_event_id if progress.sink.is_started else ""
 
-    def _patience(self, progress: RequestProgress, placement: Placement) -> Patience | None:
-        """Return how long to wait for a silent server, None where no other could be tried."""
+    def _first_answer_timeout(
+        self, progress: RequestProgress, placement: Placement
+    ) -> FirstAnswerTimeout | None:
+        """Return the limit on the wait for a silent server; None if no other could be tried."""
         route = progress.request.route
         is_suspect = not self.guard.may_repeat(progress.request.fingerprint)
-        if not route.is_repeatable or is_suspect or progress.tries.attempts_left < 2:
+        if not route.is_repeatable or is_suspect or progress.history.attempts_left < 2:
             return None
 
         def try_take_retry() -> bool:
-            progress.has_repeat = self._take_repeat(progress)
-            return progress.has_repeat
+            progress.is_retry_reserved = self._take_retry(progress)
+            return progress.is_retry_reserved
 
-        time_limit_s = self.first_answers.time_limit_s(route.name, placement.expected_wait_s)
-        return Patience(lasts_s=time_limit_s, may_give_up=try_take_retry)
+        time_limit_s = self.first_answer_times.time_limit_s(route.name, placement.expected_wait_s)
+        return FirstAnswerTimeout(limit_s=time_limit_s, may_give_up=try_take_retry)
 
-    def _note_said(self, server: BackendServer, head: ServerAnswerHead) -> None:
-        """Take in what a server says of itself with an answer."""
+    def _record_server_state(self, server: BackendServer, head: ServerAnswerHead) -> None:
+        """Record the load and the limit that a server reports with an answer."""
         table = self.placer.table
         record_advertised_limit(table, server, head.limit_per_s, head.limit_header, self.observe)
-        # The incarnation that it was sent to may be gone.
+        # The server may have been replaced by another incarnation since the request was sent.
         if head.counts is None or not table.is_current_incarnation(server):
             return
         now = now_unix_s()
-        glimpse = LoadReport(
+        partial_report = LoadReport(
             server=server.name,
             measured_unix_s=now,
             running=head.counts.running,
             waiting=head.counts.waiting,
             is_partial=True,
         )
-        table.observe_partial_report(glimpse, now)
+        table.observe_partial_report(partial_report, now)
 
-    def _pause_watch(self, progress: RequestProgress, server: str) -> Callable[[float], None]:
-        """Return what learns from the pauses of a stream."""
+    def _pause_observer(self, progress: RequestProgress, server: str) -> Callable[[float], None]:
         gap_target_s, pauses = progress.request.work.gap_target_s, self.placer.table.pauses
 
         def observe(pause_s: float) -> None:
@@ -305,7 +301,7 @@
         self,
         progress: RequestProgress,
         target: Target,
-        patience: Patience | None = None,
+        first_answer_timeout: FirstAnswerTimeout | None = None,
         on_pause: Callable[[float], None] = lambda pause_s: None,
         on_head: Callable[[ServerAnswerHead], None] = lambda head: None,
     ) -> AttemptReport:
@@ -315,7 +311,7 @@
         def note_first_answer(head: ServerAnswerHead) -> None:
             progress.first_answer_unix_s = progress.first_answer_unix_s or now_unix_s()
             took_s = now_unix_s() - started_unix_s
-            self.first_answers.learn(progress.request.route.name, took_s)
+            self.first_answer_times.observe(progress.request.route.name, took_s)
             self.placer.table.started(progress.request.work.request_id, now_unix_s())
 
         attempt = RelayAttempt(
@@ -327,70 +323,74 @@
             on_first_answer=note_first_answer,
             on_pause=on_pause,
             on_head=on_head,
-            patience=patience,
+            first_answer_timeout=first_answer_timeout,
         )
         try:
             report = await attempt.run()
         except BaseException:
-            # Whoever cancels has to know whether the server may have got the request.
-            progress.tries.may_have_run |= not attempt.is_surely_unrun
+            # The answer after a cancellation depends on whether the server may have the request.
+            progress.history.may_have_run |= not attempt.is_surely_unrun
             raise
         finally:
             self.log.attempt(progress, target, report, started_unix_s)
         return report
 
     async def _conclude(self, progress: RequestProgress, step: Step) -> str:
-        """Give the client what is left to give; return the outcome's name."""
+        """Send the final answer or refusal to the client; return the name of the outcome."""
         if step is Step.DONE:
             return "answered"
         if step is Step.BREAK_OFF:
             progress.sink.break_off()
             return "broken off"
         if step is Step.PASS_ON:
-            assert progress.tries.failure is not None
-            await progress.sink.pass_on(progress.tries.failure)
+            assert progress.history.failure is not None
+            await progress.sink.pass_on(progress.history.failure)
             return "answered"
         refusal = self._refusal(progress, step)
         request_id = progress.request.work.request_id
-        await self.refuse(refusal, request_id, progress.sink, progress.tries)
+        await self.refuse(refusal, request_id, progress.sink, progress.history)
         return "refused" if refusal.run is RunStatus.NO else "failed"
 
     def _refusal(self, progress: RequestProgress, step: Step) -> Refusal:
-        work, detail = progress.request.work, progress.tries.last_detail
+        work, detail = progress.request.work, progress.history.last_detail
         if step is Step.BLOCK:
-            run = RunStatus.UNKNOWN if progress.tries.may_have_run else RunStatus.NO
+            run = RunStatus.UNKNOWN if progress.history.may_have_run else RunStatus.NO
             return self.guard.refusal(work.request_id, work.pool, progress.request.fingerprint, run)
         if step is Step.FAIL:
             is_late = now_unix_s() >= work.deadline_unix_s
             kind = ErrorKind.DEADLINE_PASSED if is_late else ErrorKind.OUTCOME_UNKNOWN
             return refuse(kind, RunStatus.UNKNOWN, detail)
         now = now_unix_s()
-        if progress.tries.attempts and not progress.nowhere_wait_s:
+        if progress.history.attempts and not progress.unplaced_wait_s:
             pause_s = MIN_RETRY_AFTER_S * self.rng.uniform(1.0, 1.0 + RETRY_JITTER)
             return refuse(ErrorKind.NO_CAPACITY, RunStatus.NO, detail, now + pause_s)
-        # Without any server the queue's pace says nothing; that lasts longer than a full one does.
-        wait_s = progress.nowhere_wait_s or max(0.0, work.deadline_unix_s - now)
-        taken_per_s = self.placer.table.drain_per_s(work.pool, now) / self._vms_here
+        # Without any server the drain rate is meaningless, and the outage outlasts a full queue.
+        wait_s = progress.unplaced_wait_s or max(0.0, work.deadline_unix_s - now)
+        taken_per_s = self.placer.table.drain_per_s(work.pool, now) / self._local_vms
         retry_at = retry_at_unix_s(
-            self.retry_line, wait_s, taken_per_s, work.deadline_unix_s, now, self.rng
+            self.retry_schedule, wait_s, taken_per_s, work.deadline_unix_s, now, self.rng
         )
         return refuse(ErrorKind.NO_CAPACITY, RunStatus.NO, detail, retry_at)
 
     @property
-    def _vms_here(self) -> int:
+    def _local_vms(self) -> int:
         members = self.placer.members.live
         return max(1, sum(member.region == self.own_region for member in members))
 
     async def refuse(
-        self, refusal: Refusal, request_id: str, sink: ClientAnswer, tries: Tries | None = None
+        self,
+        refusal: Refusal,
+        request_id: str,
+        sink: ClientAnswer,
+        history: AttemptHistory | None = None,
     ) -> None:
-        """Answer in this system's own name."""
-        was_sent = tries is not None and tries.was_sent
-        ended_server_key = tries.ended_server_key if tries is not None else None
+        """Send a refusal of this system itself."""
+        was_sent = history is not None and history.was_sent
+        ended_server_key = history.ended_server_key if history is not None else None
         run_headers = refusal_headers(refusal, was_sent, ended_server_key)
         headers = (PROBLEM_CONTENT_TYPE, *run_headers)
         if refusal.retry_at_unix_s is not None:
             pause_s = max(0.0, refusal.retry_at_unix_s - now_unix_s())
             headers += (("Retry-After", f"{pause_s:.2f}"),)
         body = orjson.dumps(problem_body(refusal, request_id))
-        await sink.whole(refusal.kind.status, headers, body)
+        await sink.send_complete(refusal.kind.status, headers, body)
--- a/tests/test_crash_updates.py
+++ b/tests/test_crash_updates.py
@@ -1,4 +1,4 @@
-"""How crashes under requests become known to all VMs."""
+"""Crashes under requests are propagated to all VMs."""
 
 from collections import Counter, deque
 
@@ -17,7 +17,7 @@
 
 @define
 class Fleet:
-    """Hold a fleet's views and links, and deliver what is sent."""
+    """Simulate the links of a fleet and deliver the messages sent."""
 
     views: dict[str, CrashUpdates] = field(factory=dict)
     links: dict[str, set[str]] = field(factory=dict)
@@ -25,8 +25,8 @@
     bytes_by_vm: Counter[str] = field(factory=Counter)
 
     def add(self, vm: str) -> None:
-        def broadcast(message: pb.PeerMessage, but_vm: str) -> None:
-            self.sent.extend((vm, to, message) for to in self.links[vm] if to != but_vm)
+        def broadcast(message: pb.PeerMessage, except_vm: str) -> None:
+            self.sent.extend((vm, to, message) for to in self.links[vm] if to != except_vm)
 
         self.views[vm] = CrashUpdates(suspects=CrashSuspects(own_vm=vm), broadcast=broadcast)
 
@@ -34,14 +34,14 @@
         while self.sent:
             source, to, message = self.sent.popleft()
             self.bytes_by_vm[to] += message.ByteSize()
-            self.views[to].take(message.crash_findings, source)
+            self.views[to].apply(message.crash_findings, source)
 
 
 def large_fleet() -> Fleet:
-    """Return regions whose VMs stand in grids, two of each linked to two of every other."""
+    """Return regions whose VMs form grids, with two VMs of each linked to two of every other."""
     fleet = Fleet()
     regions = [
-        [f"vm-{region}-{place:02}" for place in range(VMS_A_REGION)] for region in range(REGIONS)
+        [f"vm-{region}-{index:02}" for index in range(VMS_A_REGION)] for region in range(REGIONS)
     ]
     for names in regions:
         for vm in names:
@@ -59,11 +59,11 @@
 
 
 def note(view: CrashUpdates, server_key: int) -> None:
-    view.tell(view.suspects.note(crash(server_key)))
+    view.notify_peers(view.suspects.note(crash(server_key)))
 
 
-def test_three_crashes_seen_in_three_regions_are_known_to_all_vms() -> None:
-    """Each VM knew of those it saw itself, and let three servers end before it refused."""
+def test_crashes_seen_in_three_regions_are_known_to_all_vms() -> None:
+    """A VM that knew only its own crashes would let three servers end before it refuses."""
     fleet = large_fleet()
     for region in range(3):
         note(fleet.views[f"vm-{region}-40"], region)
@@ -74,7 +74,7 @@
 
 
 def test_a_crash_costs_each_vm_a_few_hundred_bytes() -> None:
-    """In a region of 65 VMs each has sixteen neighbours, and any of them may tell."""
+    """In a region of 65 VMs each has sixteen neighbours, and any of them may send a finding."""
     fleet = large_fleet()
     note(fleet.views["vm-0-40"], 1)
     fleet.deliver()
@@ -87,23 +87,23 @@
         note(fleet.views["vm-0-40"], key)
     fleet.deliver()
     answering = fleet.views["vm-3-20"]
-    answering.tell(answering.suspects.answered(1, now_unix_s()))
+    answering.notify_peers(answering.suspects.answered(1, now_unix_s()))
     fleet.deliver()
     assert not any(view.suspects.crashes() for view in fleet.views.values())
 
 
-def test_vm_that_has_just_been_reached_is_told_everything() -> None:
-    knowing, starting = CrashUpdates(), CrashUpdates()
+def test_newly_connected_vm_receives_all_findings() -> None:
+    sender, receiver = CrashUpdates(), CrashUpdates()
     for key in range(3):
-        note(knowing, key)
-    for message in knowing.whole():
-        starting.take(message.crash_findings, "vm-1")
-    assert starting.suspects.suspicion(1, now_unix_s()) is Suspicion.BLOCKED
+        note(sender, key)
+    for message in sender.all_messages():
+        receiver.apply(message.crash_findings, "vm-1")
+    assert receiver.suspects.suspicion(1, now_unix_s()) is Suspicion.BLOCKED
 
 
-def test_findings_of_no_possible_time_are_left_out() -> None:
+def test_findings_with_impossible_times_are_ignored() -> None:
     view = CrashUpdates()
     for sent_unix_s in (float("nan"), float("-inf"), 0.0):
         finding = pb.CrashFinding(fingerprint=1, server_key=1)
-        view.take(pb.CrashFindings(sent_unix_s=sent_unix_s, findings=[finding]), "vm-1")
+        view.apply(pb.CrashFindings(sent_unix_s=sent_unix_s, findings=[finding]), "vm-1")
     assert view.suspects.crashes() == []
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines: fencing, what may go to engines that check none, and two racing owners."""
+"""Orders to engines: fencing, engines that do not check fencing numbers, and competing owners."""
 
 import pytest
 from attrs import evolve
@@ -7,14 +7,14 @@
 from pomelobarrow.decision.configuration_check import check_configuration
 from pomelobarrow.decision.orders import (
     COUNT_BITS,
-    ORDER_LIFE_S,
+    ORDER_LIFETIME_S,
     OrderBook,
     OrderKind,
     next_fencing,
     orders_for,
 )
 from pomelobarrow.decision.work import BackendServer
-from pomelobarrow.standin.orders import OrderBook as EngineOrders
+from pomelobarrow.standin.orders import EngineOrders
 
 CHECKING = BackendServer(
     name="e1",
@@ -44,7 +44,7 @@
 
 def deliver(sent, engine):
     return all(
-        engine.take({"order": each.kind.value, "version": each.version, "fencing": sent.fencing})
+        engine.record({"order": each.kind.value, "version": each.version, "fencing": sent.fencing})
         for each in sent.orders
     )
 
@@ -57,11 +57,11 @@
         pytest.param(3, 4 << COUNT_BITS, None, id="later-revision-seen"),
     ],
 )
-def test_number_never_passes_a_later_revision(revision, highest_seen, expected):
+def test_fencing_number_never_exceeds_a_later_revision(revision, highest_seen, expected):
     assert next_fencing(revision, highest_seen) == expected
 
 
-def test_engines_that_ignore_numbers_get_harmless_orders_only():
+def test_engines_that_ignore_fencing_get_only_orders_that_are_safe_without_it():
     kinds = {order.kind for order in orders_for(IGNORING, configuration("v1", 2))}
     assert kinds == {OrderKind.LOAD_MODEL}
 
@@ -69,29 +69,29 @@
 def test_new_owner_waits_until_older_orders_have_expired():
     book, published = OrderBook(), configuration("v1", 2)
     assert book.due([CHECKING], published, 100.0) == []
-    assert book.due([CHECKING], published, 100.0 + ORDER_LIFE_S)
+    assert book.due([CHECKING], published, 100.0 + ORDER_LIFETIME_S)
 
 
 @pytest.mark.parametrize("server", [CHECKING, IGNORING], ids=["checks", "ignores"])
-def test_owner_that_wakes_from_a_freeze_undoes_nothing(server):
-    """The operator sees version 2 served, and it stays so.
+def test_suspended_owner_that_resumes_undoes_nothing(server):
+    """Version 2 stays in service when outdated orders for version 1 arrive last.
 
-    The first owner prepares orders for version 1 and freezes. Another VM takes over, waits, and
-    orders version 2. The first wakes and its old orders arrive last: an engine that checks refuses
-    them, and one that doesn't was never sent an order that could replace anything.
+    The first owner prepares orders for version 1 and is suspended. Another VM becomes owner, waits
+    and orders version 2. The first owner resumes and its outdated orders arrive last: an engine
+    that checks fencing refuses them, and others never get an order that replaces anything.
     """
     engine = EngineOrders(checks_fencing=server.checks_fencing)
     first, second = OrderBook(), OrderBook()
     first.due([server], configuration("v1", 2), 0.0)
-    (late,) = first.due([server], configuration("v1", 2), ORDER_LIFE_S)
-    second.due([server], configuration("v2", 3), ORDER_LIFE_S)
-    (current,) = second.due([server], configuration("v2", 3), 2 * ORDER_LIFE_S)
+    (late,) = first.due([server], configuration("v1", 2), ORDER_LIFETIME_S)
+    second.due([server], configuration("v2", 3), ORDER_LIFETIME_S)
+    (current,) = second.due([server], configuration("v2", 3), 2 * ORDER_LIFETIME_S)
     assert deliver(current, engine)
     deliver(late, engine)
     assert served(engine) in (["v2"], [])
     first.observe_highest_fencing(server.name, engine.fencing)
-    first.observe_pause(3 * ORDER_LIFE_S)
-    assert first.due([server], configuration("v1", 2), 3 * ORDER_LIFE_S) == []
+    first.observe_pause(3 * ORDER_LIFETIME_S)
+    assert first.due([server], configuration("v1", 2), 3 * ORDER_LIFETIME_S) == []
     assert not server.checks_fencing or not first.due(
-        [server], configuration("v1", 2), 9 * ORDER_LIFE_S
+        [server], configuration("v1", 2), 9 * ORDER_LIFETIME_S
     )
