--- a/src/pomelobarrow/decision/member_roles.py
+++ b/src/pomelobarrow/decision/member_roles.py
@@ -8,8 +8,9 @@
 
 WATCHERS = 2
 RELAYS = 2
-# A watcher sends on its own link and answers on the local one, each at least every 1.1 s. Reports
-# of a watcher that has no direct link arrive one hop, about a second, later.
+# A watcher and this VM have two links, one opened by each. The watcher sends on the link that it
+# opened and answers on the one that this VM opened, on each at least every 1.1 s. Reports of a
+# watcher that has no direct link arrive one hop, about a second, later.
 DIRECT_WATCHER_TIMEOUT_S = 1.6
 REPORTED_WATCHER_TIMEOUT_S = 2.6
 
--- a/src/pomelobarrow/decision/server_choice.py
+++ b/src/pomelobarrow/decision/server_choice.py
@@ -28,8 +28,8 @@
 NAMED_GROUP_CACHE_PROBABILITY = 0.9
 # Prefilling a prompt that another server has cached delays every request behind it, and fills a
 # second cache with the same blocks. So prefill adds this many times its duration to the cost. On
-# deployments of 16 and 7 engines a fifth fewer tokens are prefilled repeatedly; the score of the
-# served requests rises by 0.04 on the first and stays the same on the second.
+# deployments of 16 and 7 engines a fifth fewer tokens are prefilled repeatedly; the share of the
+# requests' value that is earned rises by 0.04 with 16 engines and doesn't change with 7.
 PREFILL_COST_WEIGHT = 2.0
 # Lower bound of a first-answer target; targets are fractions of a second.
 MIN_TARGET_S = 0.05
--- a/src/pomelobarrow/decision/server_load.py
+++ b/src/pomelobarrow/decision/server_load.py
@@ -9,7 +9,7 @@
 
 # Released charges are kept this long, to compare reports that were measured before the release.
 RELEASED_RETENTION_S = 10.0
-# An older report no longer describes the current load and is ignored.
+# An older report doesn't describe the current load.
 MAX_REPORT_AGE_S = 10.0
 REPORTS_COMPARED = 2
 MIN_PRUNE_AT_CHARGES = 64
--- a/src/pomelobarrow/peers/table.py
+++ b/src/pomelobarrow/peers/table.py
@@ -27,8 +27,8 @@
 HEARTBEAT_EVERY_S = 1.0
 # Without jitter, VMs that send at the same time would all be woken by all others at once.
 HEARTBEAT_JITTER = 0.1
-# Most of a fleet is known after this time. A server that leaves in the meantime goes on serving for
-# 3 s.
+# Most of a fleet is known after this time. Waiting so long is harmless, because a server that
+# leaves in the meantime goes on serving for 3 s.
 SETTLE_S = 2.0
 # Members are dropped after minutes, so that the check need not be exact to the second.
 FORGET_EVERY_S = 5.0
--- a/src/pomelobarrow/published/watcher.py
+++ b/src/pomelobarrow/published/watcher.py
@@ -21,8 +21,8 @@
 # good, and changes wait until the poll ends. Polls are short for that reason. Twelve polls in three
 # seconds are four reads a second for a whole fleet, of the two thousand that the platform allows.
 LONG_POLL_S = 3.0
-# Changes in a burst are read in batches of this length instead of one call each: calls are limited,
-# and a change may take seconds to come into force.
+# Changes in a burst are read in batches of this length instead of one call each: each call to the
+# store is charged, and a change may take seconds to come into force.
 READ_INTERVAL_S = 0.25
 # A daemon that isn't a watcher receives changes from its peers, and becomes a watcher if the
 # watchers fall silent. The idle read finds changes that are missed in both ways. With an interval
